--- a/deciding/almanac/src/edition.rs
+++ b/crates/config/src/gateway_config.rs
@@ -1,9 +1,9 @@
 //! A whole configuration: read by hand from JSON, checked as a whole, taken or refused as a whole.
 
 use crate::place::{quoted, under, Complaint};
-use crate::reread::{self, Sources};
-use crate::routes::{Part, Route, Sort, Table};
-use crate::{times, Micros};
+use crate::reload::{self, Sources};
+use crate::route_table::{Part, Route, Sort, Table};
+use crate::{durations, Micros};
 use jzon::JsonValue as Json;
 use std::collections::{HashMap, HashSet};
 use std::ops::Range;
@@ -83,11 +83,11 @@
     }
 
     fn reread(text: &Arc<str>, before: Option<&Edition>) -> Option<Edition> {
-        let places = reread::places(text)?;
+        let places = reload::places(text)?;
         let none = Sources::default();
         let known = before.map_or(&none, |b| &b.sources).known(text, &places);
         let mut reader = Reader { text, places: &places, known, ..Reader::default() };
-        let mut edition = reader.edition(&jzon::parse(&reread::shorten(text, &places)).ok()?)?;
+        let mut edition = reader.edition(&jzon::parse(&reload::shorten(text, &places)).ok()?)?;
         let whole = reader.wrong.is_empty() && reader.routes.len() == places.len();
         let routes = std::mem::take(&mut reader.routes);
         edition.sources = Sources::new(text, places.into_iter().zip(routes));
@@ -145,7 +145,7 @@
     }
     fn time(&mut self, body: &Json, place: &str, name: &str, otherwise: Option<Micros>) -> Option<Micros> {
         let value = &body[name];
-        match (value.as_str().and_then(times::read), otherwise) {
+        match (value.as_str().and_then(durations::read), otherwise) {
             (Some(micros), _) => Some(micros),
             (None, Some(micros)) if value.is_null() => Some(micros),
             _ => {
@@ -249,7 +249,7 @@
         let target = self.time(body, place, "target", give_up);
         if let (Some(target), Some(give_up)) = (target, give_up) {
             if target >= give_up.saturating_add(BEYOND) {
-                let most = format!("less than 60s over its give_up of {}", times::write(give_up));
+                let most = format!("less than 60s over its give_up of {}", durations::write(give_up));
                 self.complain(under(place, "target"), &body["target"], &most);
             }
         }
--- a/deciding/almanac/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,7 +4,7 @@
 //! was found and what was expected, so that whoever wrote it can mend it.
 //!
 //! ```
-//! use magpieline_almanac::edition::Edition;
+//! use magpieline_config::gateway_config::Edition;
 //!
 //! let text = r#"{"edition": 3, "wickets": [{"depot": "a.example", "regulations": [{"name": "r", "sort": "safe",
 //!   "target": "600ms", "sorting": {"lane_prefix": "/x/"}, "dispatch": {"service": "s", "give_up": "2s"}}]}],
@@ -15,12 +15,12 @@
 //! assert!(edition.table().find("a.example", "/y/").is_none());
 //! ```
 
-pub mod edition;
-pub mod machine;
+pub mod durations;
+pub mod gateway_config;
+pub mod node_settings;
 pub mod place;
-mod reread;
-pub mod routes;
-pub mod times;
+mod reload;
+pub mod route_table;
 
 /// A time span or an instant on a steady clock, in microseconds.
 pub type Micros = u64;
--- a/deciding/almanac/src/machine.rs
+++ b/crates/config/src/node_settings.rs
@@ -2,7 +2,7 @@
 //! Unknown fields are skipped; what is absent and has a sound default gets it.
 
 use crate::place::{quoted, under, Complaint};
-use crate::{times, Micros};
+use crate::{durations, Micros};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use toml::{Table, Value};
@@ -116,10 +116,10 @@
         otherwise
     }
     fn time(&mut self, name: &str, otherwise: &str) -> Micros {
-        let otherwise = times::read(otherwise).unwrap_or(0);
+        let otherwise = durations::read(otherwise).unwrap_or(0);
         match self.get(name) {
             None => otherwise,
-            Some(value) => value.as_str().and_then(times::read).unwrap_or_else(|| {
+            Some(value) => value.as_str().and_then(durations::read).unwrap_or_else(|| {
                 self.complain(name, Some(value), "a time such as 1500ms or 2.5s");
                 otherwise
             }),
--- a/deciding/almanac/src/reread.rs
+++ b/crates/config/src/reload.rs
@@ -2,7 +2,7 @@
 //! changes leave most routes as they are, and reading them is nearly all of the work (2,320 routes: 9 ms on a whole core,
 //! so 90 ms at a tenth of one, in which a counter serves nobody).
 
-use crate::routes::Route;
+use crate::route_table::Route;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
--- a/deciding/almanac/tests/reread.rs
+++ b/crates/config/tests/reload.rs
@@ -1,6 +1,6 @@
 //! Configurations that are read after another one.
 
-use magpieline_almanac::edition::Edition;
+use magpieline_config::gateway_config::Edition;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::sync::Arc;
--- a/keeping/trellis/src/intake.rs
+++ b/crates/control-plane/src/config_receiver.rs
@@ -1,8 +1,8 @@
 //! A counter takes in editions: pieces are put together, and what is whole is put on what is held.
 
 use crate::delta;
-use crate::records::Kept;
-use crate::words::{Piece, LONGEST};
+use crate::messages::{Piece, LONGEST};
+use crate::state_machine::Kept;
 
 /// The edition that is coming in over one link; a new link begins a new one.
 #[derive(Debug, Default)]
--- a/keeping/trellis/src/feed.rs
+++ b/crates/control-plane/src/config_sender.rs
@@ -11,8 +11,8 @@
 //! No I/O: events and the time go in, actions come out.
 
 use crate::delta;
-use crate::records::Kept;
-use crate::words::{self, Down, Fenced, Piece};
+use crate::messages::{self, Down, Fenced, Piece};
+use crate::state_machine::Kept;
 use crate::Micros;
 use bytes::Bytes;
 use std::collections::{BTreeMap, VecDeque};
@@ -321,7 +321,7 @@
         let frames = told.chunks(PIECE).enumerate().map(|(i, bytes)| {
             let at = (i * PIECE) as u32;
             let word = Down::Piece(Piece { number, from, length, at, bytes: bytes.to_vec() });
-            (at + bytes.len() as u32, Bytes::from(words::frame(&Fenced { term, word })))
+            (at + bytes.len() as u32, Bytes::from(messages::frame(&Fenced { term, word })))
         });
         Telling { number, length, frames: frames.collect() }
     }
--- a/keeping/trellis/src/tendril.rs
+++ b/crates/control-plane/src/controller_client.rs
@@ -10,7 +10,7 @@
 //! moment of its newest report that the leader names: clocks are never compared, and whatever a word has waited in on its
 //! way is counted.
 
-use crate::words::{Down, Fenced};
+use crate::messages::{Down, Fenced};
 use crate::Micros;
 use std::net::SocketAddrV4;
 
--- a/keeping/trellis/src/orders.rs
+++ b/crates/control-plane/src/deduplication.rs
@@ -10,7 +10,7 @@
 //! order says in its proposal which earlier one of the same content it holds for over ([`Witness::look`]), and an order
 //! that it has not seen, or not held for over, makes the proposal a copy of that one.
 
-use crate::records::{Command, Records, Taken};
+use crate::state_machine::{Command, Records, Taken};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
--- a/keeping/trellis/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -13,15 +13,15 @@
 //! No I/O and no clock: events and the time go in, actions come out. Times are microseconds on the steady clock of
 //! the machine that runs the code.
 
+pub mod codec;
+pub mod config_receiver;
+pub mod config_sender;
+pub mod controller_client;
+pub mod deduplication;
 pub mod delta;
-pub mod feed;
-pub mod form;
-pub mod intake;
-pub mod orders;
-pub mod records;
-pub mod roster;
-pub mod tendril;
-pub mod words;
+pub mod messages;
+pub mod proxy_registry;
+pub mod state_machine;
 
 /// A time span or an instant on a steady clock, in microseconds.
 pub type Micros = u64;
--- a/keeping/trellis/src/words.rs
+++ b/crates/control-plane/src/messages.rs
@@ -1,8 +1,8 @@
 //! What counters and sorting machines say to each other. One message is one frame: its length in four bytes, the
 //! least significant first, then its form: a number and the message's bytes, squeezed where that is worth it ([`form`]).
 
-use crate::form::{self, Form, Unreadable};
-use crate::records::Standing;
+use crate::codec::{self, Form, Unreadable};
+use crate::state_machine::Standing;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
@@ -107,7 +107,7 @@
     /// Microseconds since the counter first heard of the order.
     pub age: u64,
     /// The newest phase that the counter knows of.
-    pub phase: Option<crate::records::Phase>,
+    pub phase: Option<crate::state_machine::Phase>,
 }
 
 /// Who a counter is: the first thing that it says on a link.
@@ -221,7 +221,7 @@
 
 /// A message as a frame.
 pub fn frame<T: Serialize>(message: &T) -> Vec<u8> {
-    let bytes = form::pack(message);
+    let bytes = codec::pack(message);
     let mut frame = Vec::with_capacity(4 + bytes.len());
     frame.extend((bytes.len() as u32).to_le_bytes());
     frame.extend(bytes);
@@ -238,9 +238,9 @@
         return Err(Unreadable::of(FRAME, found, expected));
     }
     let Some(told) = bytes.get(4..4 + length) else { return Ok(None) };
-    let message = match form::open(FRAME, told)? {
-        Form::First(_) => return Err(form::unnumbered(FRAME)),
-        Form::Known(value) => form::whole(FRAME, &value)?,
+    let message = match codec::open(FRAME, told)? {
+        Form::First(_) => return Err(codec::unnumbered(FRAME)),
+        Form::Known(value) => codec::whole(FRAME, &value)?,
     };
     bytes.drain(..4 + length);
     Ok(Some(message))
--- a/keeping/trellis/src/roster.rs
+++ b/crates/control-plane/src/proxy_registry.rs
@@ -7,7 +7,7 @@
 //! after the counter asked; when the term ends, all its links end, and a counter that has heard a leader of a newer term
 //! is let go of.
 
-use crate::words::{Evidence, Hello, Report, Spot, Totals, Vote};
+use crate::messages::{Evidence, Hello, Report, Spot, Totals, Vote};
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -197,7 +197,7 @@
         let (mut under_way, mut unheard) = (0, 0);
         for counter in self.counters.values().filter(|c| !c.away(now)) {
             match counter.evidence.get(service).filter(|e| e.order == order) {
-                Some(e) if e.phase == Some(crate::records::Phase::Moving) => under_way += e.under_way,
+                Some(e) if e.phase == Some(crate::state_machine::Phase::Moving) => under_way += e.under_way,
                 _ => unheard += 1,
             }
         }
--- a/keeping/trellis/src/records.rs
+++ b/crates/control-plane/src/state_machine.rs
@@ -3,8 +3,8 @@
 //! machine: the same commands in the same order give the same state everywhere. What an operator is told is what
 //! applying the command did ([`Effect`]), never that it was agreed on.
 
-use crate::form::{self, Form, Unreadable};
-use crate::orders::Digest;
+use crate::codec::{self, Form, Unreadable};
+use crate::deduplication::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -249,14 +249,14 @@
 
     /// All of it in bytes, for a snapshot.
     pub fn pack(&self) -> Vec<u8> {
-        form::pack(self)
+        codec::pack(self)
     }
 
     /// Reads what [`Records::pack`] wrote, in this release or an earlier one.
     pub fn unpack(bytes: &[u8]) -> Result<Records, Unreadable> {
-        match form::open(STATE, bytes)? {
-            Form::First(value) => form::whole::<FirstRecords>(STATE, value).map(Records::from),
-            Form::Known(value) => form::whole(STATE, &value),
+        match codec::open(STATE, bytes)? {
+            Form::First(value) => codec::whole::<FirstRecords>(STATE, value).map(Records::from),
+            Form::Known(value) => codec::whole(STATE, &value),
         }
     }
 }
@@ -294,15 +294,15 @@
 
 impl Command {
     pub fn pack(&self) -> Vec<u8> {
-        form::pack(self)
+        codec::pack(self)
     }
 
     /// Reads what [`Command::pack`] wrote, in this release or an earlier one.
     pub fn unpack(bytes: &[u8]) -> Result<Command, Unreadable> {
-        match form::open(COMMAND, bytes)? {
+        match codec::open(COMMAND, bytes)? {
             // The first release's commands are the first of this one's.
-            Form::First(value) => form::whole(COMMAND, value),
-            Form::Known(value) => form::whole(COMMAND, &value),
+            Form::First(value) => codec::whole(COMMAND, value),
+            Form::Known(value) => codec::whole(COMMAND, &value),
         }
     }
 }
--- a/keeping/trellis/tests/forms.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -1,8 +1,8 @@
 //! Forms of what is stored and sent: of earlier releases, of this one, and of none.
 
-use magpieline_trellis::form::{self, Unreadable};
-use magpieline_trellis::records::{Command, Kept, Records};
-use magpieline_trellis::words::{frame, unframe, Opening};
+use magpieline_control_plane::codec::{self, Unreadable};
+use magpieline_control_plane::messages::{frame, unframe, Opening};
+use magpieline_control_plane::state_machine::{Command, Kept, Records};
 
 fn state() -> Records {
     let mut records = Records::default();
@@ -22,7 +22,7 @@
 #[test]
 fn a_newer_form_is_refused_with_its_number() {
     let raised = |mut bytes: Vec<u8>, at: usize| {
-        bytes[at] = form::SQUEEZED + 1;
+        bytes[at] = codec::SQUEEZED + 1;
         bytes
     };
     let told = |wrong: Unreadable| (wrong.place, wrong.found, wrong.expected, wrong.newer);
@@ -73,11 +73,11 @@
     let text: String = (0..20_000).map(|i| format!("{{\"route\":\"r-{i}\"}},")).collect();
     let command = Command::Replace(Kept { number: 7, text: text.as_str().into() });
     let bytes = command.pack();
-    assert_eq!(bytes[0], form::SQUEEZED);
+    assert_eq!(bytes[0], codec::SQUEEZED);
     assert!(bytes.len() < text.len() / 4, "{} of {}", bytes.len(), text.len());
     assert_eq!(Command::unpack(&bytes), Ok(command));
     assert!(Command::unpack(&bytes[..bytes.len() / 2]).is_err());
-    let bomb = form::pack(&"z".repeat(65 << 20));
+    let bomb = codec::pack(&"z".repeat(65 << 20));
     assert!(bomb.len() < 1 << 20 && Command::unpack(&bomb).is_err());
 }
 
@@ -85,12 +85,12 @@
 #[test]
 fn forms_are_numbered_and_read_again() {
     let (state, command) = (state(), command());
-    assert!(state.pack()[0] >= form::LEAST && command.pack()[0] >= form::LEAST);
+    assert!(state.pack()[0] >= codec::LEAST && command.pack()[0] >= codec::LEAST);
     assert_eq!((Records::unpack(&state.pack()), Command::unpack(&command.pack())), (Ok(state), Ok(command)));
 }
 
 /// Guards against commands and frames of the first release, which had neither number nor squeezing, that can't be read
-/// any more (its snapshots: `programs/orchard/tests/kept_store.rs`); and against bytes that begin like a squeezed value.
+/// any more (its snapshots: `crates/gateway/tests/kept_store.rs`); and against bytes that begin like a squeezed value.
 #[test]
 fn what_the_first_release_packed_is_read() {
     let long: String = (0..40_000u32).map(|i| char::from(b'a' + (i % 26) as u8)).collect();
@@ -101,5 +101,5 @@
         assert_eq!(Command::unpack(&command.pack()), Ok(command));
     }
     assert!(Command::Replace(Kept { number: 3, text: long.into() }).pack().len() < 2000);
-    assert!(Command::unpack(&[form::SQUEEZED, 1, 2]).is_err());
+    assert!(Command::unpack(&[codec::SQUEEZED, 1, 2]).is_err());
 }
--- a/keeping/trellis/tests/feed.rs
+++ b/crates/control-plane/tests/config_sender.rs
@@ -1,9 +1,9 @@
 //! What a counter is told of editions, step by step.
 
-use magpieline_trellis::feed::{Action, Event, Feeds};
-use magpieline_trellis::intake::{Intake, Taken};
-use magpieline_trellis::records::Kept;
-use magpieline_trellis::words::{unframe, Down, Fenced, Piece};
+use magpieline_control_plane::config_receiver::{Intake, Taken};
+use magpieline_control_plane::config_sender::{Action, Event, Feeds};
+use magpieline_control_plane::messages::{unframe, Down, Fenced, Piece};
+use magpieline_control_plane::state_machine::Kept;
 
 /// An edition of some 30 KB squeezed, so that it takes more than a window; each differs from the one before a little.
 fn edition(number: u64) -> Kept {
--- a/keeping/trellis/tests/tendril.rs
+++ b/crates/control-plane/tests/controller_client.rs
@@ -1,7 +1,7 @@
 //! A counter's hold on the leader.
 
-use magpieline_trellis::tendril::{Action, Event, Tendril};
-use magpieline_trellis::words::{Down, Fenced};
+use magpieline_control_plane::controller_client::{Action, Event, Tendril};
+use magpieline_control_plane::messages::{Down, Fenced};
 use std::net::SocketAddrV4;
 
 /// A link that is not up after this is given up.
--- a/keeping/trellis/tests/orders.rs
+++ b/crates/control-plane/tests/deduplication.rs
@@ -1,8 +1,8 @@
 //! Whether an order is the same one again, as leaders see it whose clocks differ and who start anew.
 
-use magpieline_trellis::orders::{Digest, Witness, CLOCKS, TRAVEL};
-use magpieline_trellis::records::{Command, Effect, Phase, Records};
-use magpieline_trellis::Micros;
+use magpieline_control_plane::deduplication::{Digest, Witness, CLOCKS, TRAVEL};
+use magpieline_control_plane::state_machine::{Command, Effect, Phase, Records};
+use magpieline_control_plane::Micros;
 use rstest::rstest;
 
 const SECOND: Micros = 1_000_000;
--- a/keeping/trellis/tests/delta.rs
+++ b/crates/control-plane/tests/delta.rs
@@ -1,7 +1,7 @@
 //! Editions as what has changed.
 
-use magpieline_trellis::delta::{apply, diff};
-use magpieline_trellis::words::LONGEST;
+use magpieline_control_plane::delta::{apply, diff};
+use magpieline_control_plane::messages::LONGEST;
 use rand::{Rng, SeedableRng};
 
 fn routes(chance: &mut rand_chacha::ChaCha8Rng, count: usize) -> Vec<String> {
--- a/keeping/trellis/tests/words.rs
+++ b/crates/control-plane/tests/messages.rs
@@ -1,6 +1,6 @@
 //! Messages as frames.
 
-use magpieline_trellis::words::{frame, unframe, Down, Fenced, Report, Up};
+use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Report, Up};
 
 /// Guards against frames that are taken apart wrongly where they arrive in pieces or are not ours.
 #[test]
--- a/keeping/trellis/tests/narrow_links.rs
+++ b/crates/control-plane/tests/narrow_links.rs
@@ -4,10 +4,10 @@
 //! hear signs of life in time, and what is on its way and what is kept is bounded. `NARROW_SEEDS` plays more days.
 
 use bytes::Bytes;
-use magpieline_trellis::feed::{Action, Event, Feeds, WINDOW, WINDOW_OF_ALL};
-use magpieline_trellis::intake::{Intake, Taken};
-use magpieline_trellis::records::Kept;
-use magpieline_trellis::words::{frame, unframe, Down, Fenced, Piece};
+use magpieline_control_plane::config_receiver::{Intake, Taken};
+use magpieline_control_plane::config_sender::{Action, Event, Feeds, WINDOW, WINDOW_OF_ALL};
+use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Piece};
+use magpieline_control_plane::state_machine::Kept;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashMap};
@@ -219,7 +219,7 @@
 
     /// As editions were sent before: what has changed took twice the bytes that it takes now, a whole one its length.
     fn fifo(&mut self, link: u64, from: Option<&Kept>, edition: &Kept) {
-        let told = from.map(|f| 2 * magpieline_trellis::delta::diff(&f.text, &edition.text).len());
+        let told = from.map(|f| 2 * magpieline_control_plane::delta::diff(&f.text, &edition.text).len());
         let number = edition.number;
         let down = said(Down::Piece(Piece { number, from: 0, length: 0, at: 0, bytes: Vec::new() }));
         self.say(link, down, told.unwrap_or(edition.text.len()));
--- a/keeping/trellis/tests/roster.rs
+++ b/crates/control-plane/tests/proxy_registry.rs
@@ -1,8 +1,8 @@
 //! The leader's view of the counters.
 
-use magpieline_trellis::records::Phase;
-use magpieline_trellis::roster::{Pooled, Roster};
-use magpieline_trellis::words::{Evidence, Hello, Report, Totals, Vote};
+use magpieline_control_plane::messages::{Evidence, Hello, Report, Totals, Vote};
+use magpieline_control_plane::proxy_registry::{Pooled, Roster};
+use magpieline_control_plane::state_machine::Phase;
 
 const TERM: u64 = 3;
 
--- a/keeping/trellis/tests/records.rs
+++ b/crates/control-plane/tests/state_machine.rs
@@ -1,8 +1,8 @@
 //! What the sorting machines agree on, command by command: one document under a number, one order once, steps of a
 //! rollout only where they may follow.
 
-use magpieline_trellis::orders::Digest;
-use magpieline_trellis::records::{
+use magpieline_control_plane::deduplication::Digest;
+use magpieline_control_plane::state_machine::{
     Command, Effect, Kept, Phase, Records, Rollout, MOST_DOCUMENTS, MOST_ORDERS,
 };
 use rstest::rstest;
--- a/deciding/levels/benches/door.rs
+++ b/crates/degradation/benches/door.rs
@@ -1,8 +1,8 @@
-//! What a hit costs at the door of the levels, from there to its end: `cargo bench -p magpieline-levels`.
+//! What a hit costs at the door of the levels, from there to its end: `cargo bench -p magpieline-degradation`.
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use magpieline_levels::{Door, Ended, Fate, Installation, Ladder, Levels};
-use magpieline_operator::Schema;
+use magpieline_degradation::{Door, Ended, Fate, Installation, Ladder, Levels};
+use magpieline_operator_config::Schema;
 use std::hint::black_box;
 
 const FILE: &str =
--- a/deciding/levels/src/admission.rs
+++ b/crates/degradation/src/admission.rs
@@ -13,7 +13,7 @@
 const OUTCOMES: f64 = 20.0;
 const STEP_LONGEST: f64 = 5.0;
 /// Spoilt benefit (late answers, errors, bounces by the decisions) beyond the first share shrinks the budget, below the
-/// second lets it grow. These and the next were chosen on the fleet model (`magpieline-trials levels`; 1, 30 and 1,000
+/// second lets it grow. These and the next were chosen on the fleet model (`magpieline-rollout-simulation levels`; 1, 30 and 1,000
 /// agents at twice and three times what nodes can take): 1% and 3% gave the same within two hundredths.
 const SPOILT: (f64, f64) = (0.02, 0.005);
 /// By how much: in proportion to what is spoilt, at most by a third at once. Half as much again swings: holds of thirty
--- a/deciding/levels/src/ladder.rs
+++ b/crates/degradation/src/ladder.rs
@@ -1,7 +1,7 @@
 //! The levels that operators name, mildest first, and whether they make sense together.
 
 use crate::words::{self, Condition, Signal, Test};
-use magpieline_operator::{flag, number, text, Values};
+use magpieline_operator_config::{flag, number, text, Values};
 use std::collections::BTreeMap;
 
 /// Alternatives that a condition may come to once its parentheses are multiplied out.
@@ -280,7 +280,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use magpieline_operator::Setting;
+    use magpieline_operator_config::Setting;
 
     pub fn groups() -> Vec<String> {
         ["pay", "hold", "read"].map(str::to_owned).to_vec()
--- a/carrying/exchange/src/changes.rs
+++ b/crates/dispatch/src/changes.rs
@@ -1,9 +1,9 @@
 //! Versions of the operators' file as hits see them: each is pinned to one from the door to its final answer. No
 //! I/O; what has to be written is written by `life`.
 
-use magpieline_operator::versions::{Refusal, Step, Versions};
-use magpieline_operator::watch::{Care, Next, Usual, Watch};
-use magpieline_operator::{number, text, Schema, Values};
+use magpieline_operator_config::versions::{Refusal, Step, Versions};
+use magpieline_operator_config::watch::{Care, Next, Usual, Watch};
+use magpieline_operator_config::{number, text, Schema, Values};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -229,7 +229,7 @@
         assert_eq!(care(&read("<magpieline><watch harm='0.2'/></magpieline>")).harm, 0.2);
     }
 
-    /// A measurement, not a check of CI: `cargo test --release -p magpieline-agent cost_of -- --ignored --nocapture`.
+    /// A measurement, not a check of CI: `cargo test --release -p magpieline-sidecar cost_of -- --ignored --nocapture`.
     #[test]
     #[ignore = "a measurement"]
     fn cost_of_pinning_a_hit() {
--- a/carrying/exchange/src/exchange.rs
+++ b/crates/dispatch/src/exchange.rs
@@ -13,13 +13,13 @@
 use magpieline::interface::*;
 use magpieline::names::{Door, Told};
 use magpieline::Balancer;
-use magpieline_levels::{
+use magpieline_degradation::{
     Change, Door as LevelDoor, Ended, Fate, Installation, Ladder, Levels, Reading, Stands,
 };
-use magpieline_operator::versions::{Step, Versions};
-use magpieline_operator::watch;
-use magpieline_operator::Values;
-use magpieline_verdict::{Look, Terms};
+use magpieline_operator_config::versions::{Step, Versions};
+use magpieline_operator_config::watch;
+use magpieline_operator_config::Values;
+use magpieline_sequential_test::{Look, Terms};
 use serde::{Deserialize, Serialize};
 use std::any::Any;
 use std::cell::{Cell, RefCell};
@@ -94,7 +94,7 @@
     /// The vote that was cast with it, if one was.
     pub vote: Option<String>,
     pub look: Look,
-    pub entries: Vec<magpieline_verdict::Entry>,
+    pub entries: Vec<magpieline_sequential_test::Entry>,
     /// The path groups' names, in order, and those of the nodes that entries mention.
     pub groups: Vec<String>,
     pub nodes: BTreeMap<usize, String>,
@@ -862,7 +862,7 @@
     /// Looks at the levels, for as long as the program runs.
     pub async fn tend_levels(self: Rc<Self>) -> Infallible {
         loop {
-            tokio::time::sleep(time(magpieline_levels::LOOK)).await;
+            tokio::time::sleep(time(magpieline_degradation::LOOK)).await;
             {
                 let state = &mut *self.state.borrow_mut();
                 let change = state.levels.as_mut().and_then(|l| l.look(self.clock.now()));
@@ -1098,7 +1098,8 @@
         let exchange = Rc::new(Exchange::new(1, &info, &Chosen::default(), None, ways).expect("an exchange"));
         exchange.listed(true, true, vec![entry(1, 1, true), entry(2, 2, true)]);
         exchange.heard(News { build: 2, stage: 1, phase: Phase::Trial, since: 0.0, cap: 0.9 });
-        let values = magpieline_operator::Schema::own().check(&LEVELS.replace("WAIT", wait)).expect("good");
+        let values =
+            magpieline_operator_config::Schema::own().check(&LEVELS.replace("WAIT", wait)).expect("good");
         exchange.set_levels(&values, 1, None).expect("it makes sense");
         (exchange, seen)
     }
@@ -1218,7 +1219,7 @@
     fn levels_that_make_no_sense_here_are_refused_whole() {
         let (exchange, _) = levelled("");
         let odd = LEVELS.replace("WAIT", "").replace("late(pay) > 50%", "late(odd) > 50%");
-        let values = magpieline_operator::Schema::own().check(&odd).expect("good by the schema");
+        let values = magpieline_operator_config::Schema::own().check(&odd).expect("good by the schema");
         let told = exchange.set_levels(&values, 1, None).expect_err("refused");
         assert!(
             told.contains("levels: level 'busy': enter: late: found 'odd', expected one of read, pay"),
@@ -1249,7 +1250,9 @@
     fn a_level_is_not_held_against_a_change_that_is_watched() {
         run(async {
             let (exchange, _) = levelled("");
-            exchange.hold(Versions::new(magpieline_operator::Schema::own()), 1).expect("nothing chosen");
+            exchange
+                .hold(Versions::new(magpieline_operator_config::Schema::own()), 1)
+                .expect("nothing chosen");
             for id in 0..100 {
                 exchange.take(arrival(1), read(id)).expect("taken").answer().await;
             }
--- a/fronts/front-extproc/examples/asks.rs
+++ b/crates/ext-proc/examples/asks.rs
@@ -1,7 +1,7 @@
 //! Asks a processor on loopback, closed loop, and tells it at once that all went well: `asks ADDRESS STREAMS SECONDS`.
 //! Each ask is a stream of its own, as proxies do it. Prints calls, what they were answered, and the times to the answer.
 
-use magpieline_front_extproc::messages::*;
+use magpieline_ext_proc::messages::*;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
--- a/fronts/front-extproc/src/call.rs
+++ b/crates/ext-proc/src/call.rs
@@ -1,7 +1,7 @@
 //! A hit whose forward is the caller's: the way tells the caller's stream where to go, and waits to hear how it ended.
 
 use futures_util::future::LocalBoxFuture;
-use magpieline_exchange::End;
+use magpieline_dispatch::End;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -54,6 +54,6 @@
 }
 
 /// For ways: the call, if a hit is one.
-pub fn call(load: &Rc<magpieline_exchange::Load>) -> Option<&Call> {
+pub fn call(load: &Rc<magpieline_dispatch::Load>) -> Option<&Call> {
     load.head.downcast_ref()
 }
--- a/fronts/front-extproc/src/table.rs
+++ b/crates/ext-proc/src/table.rs
@@ -2,9 +2,9 @@
 //! is answered when nothing can be decided. Operators say so; a path without a row is none of ours.
 
 use crate::messages::HeaderMap;
-use magpieline_exchange::{hash, Exchange};
-use magpieline_ledger::{Bounds, Kind};
-use magpieline_operator::{number, text, Values};
+use magpieline_attempt_log::{Bounds, Kind};
+use magpieline_dispatch::{hash, Exchange};
+use magpieline_operator_config::{number, text, Values};
 
 /// The longest id, key or account; those in use are a few dozen bytes.
 const WORD_MOST: usize = 256;
--- a/fronts/front-extproc/src/tests.rs
+++ b/crates/ext-proc/src/tests.rs
@@ -6,9 +6,9 @@
 use crate::table::Table;
 use futures_util::future::LocalBoxFuture;
 use magpieline::interface::Listed;
-use magpieline_exchange::{Chosen, End, Entry, Exchange, Load, Way, Ways};
-use magpieline_ledger::Record;
-use magpieline_operator::Schema;
+use magpieline_attempt_log::Record;
+use magpieline_dispatch::{Chosen, End, Entry, Exchange, Load, Way, Ways};
+use magpieline_operator_config::Schema;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::{Cell, RefCell};
@@ -133,7 +133,7 @@
 }
 
 async fn plain(nodes: &[SocketAddr]) -> Processor {
-    processor(nodes, "", None, &[], magpieline_exchange::unix()).await
+    processor(nodes, "", None, &[], magpieline_dispatch::unix()).await
 }
 
 /// Waits until nothing is in hand: streams that were dropped are heard of as the machine gets round to it.
@@ -383,7 +383,7 @@
     run(240, async {
         let runs = Runs::default();
         let p =
-            processor(&[node(&runs).await], "most-streams='10000'", None, &[], magpieline_exchange::unix())
+            processor(&[node(&runs).await], "most-streams='10000'", None, &[], magpieline_dispatch::unix())
                 .await;
         let proxy = proxy(p.at).await;
         let mut held = Vec::new();
@@ -512,7 +512,7 @@
         let (mut done, began) = (0, Instant::now());
         let (heard, times) = (Rc::new(RefCell::new([0u64; 4])), Rc::new(RefCell::new(Vec::new())));
         let (records, mut from, mut round) =
-            (Rc::new(RefCell::new(Vec::new())), magpieline_exchange::unix(), 0u64);
+            (Rc::new(RefCell::new(Vec::new())), magpieline_dispatch::unix(), 0u64);
         let next = Rc::new(Cell::new(0u64));
         while done < many {
             round += 1;
@@ -520,7 +520,7 @@
             if with_disk && round > 2 {
                 // Its predecessor had none: nothing older is known.
                 records.borrow_mut().clear();
-                from = magpieline_exchange::unix();
+                from = magpieline_dispatch::unix();
             }
             let shelf: Option<Rc<dyn Shelf>> = Some(Rc::new(Kept(records.clone())));
             let known = records.borrow().clone();
@@ -601,7 +601,7 @@
     calls(4_000);
 }
 
-/// By hand: `cargo test --release -p magpieline-front-extproc many_calls -- --ignored --nocapture`.
+/// By hand: `cargo test --release -p magpieline-ext-proc many_calls -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes minutes"]
 fn many_calls() {
--- a/programs/orchard/src/commands/check.rs
+++ b/crates/gateway/src/commands/check.rs
@@ -3,11 +3,11 @@
 use super::tables::{columns, listed, pairs};
 use super::{say, End};
 use jzon::JsonValue as Json;
-use magpieline_almanac::edition::Edition;
-use magpieline_almanac::machine::Machine;
-use magpieline_almanac::place::Complaint;
-use magpieline_almanac::routes::{Route, Sort};
-use magpieline_almanac::times;
+use magpieline_config::durations;
+use magpieline_config::gateway_config::Edition;
+use magpieline_config::node_settings::Machine;
+use magpieline_config::place::Complaint;
+use magpieline_config::route_table::{Route, Sort};
 use std::io::Read;
 
 #[derive(gumdrop::Options)]
@@ -181,7 +181,7 @@
             format!(
                 "{at}, {} calls a second, {} behind",
                 machine.carrier.per_s,
-                times::write(machine.carrier.lag)
+                durations::write(machine.carrier.lag)
             )
         }
         None => "none".into(),
@@ -233,17 +233,17 @@
     let has = |post: &str| machine.posts.contains_key(post);
     let mut roles = Vec::new();
     if has("front") && has("ready") {
-        roles.push("counter");
+        roles.push("proxy");
     }
     if has("control") && machine.store.is_some() {
-        roles.push("sorting");
+        roles.push("controller");
     }
     roles
 }
 
 fn terms(machine: &Machine) -> Vec<(&'static str, String)> {
     let t = &machine.terms;
-    let time = |micros| times::write(micros);
+    let time = |micros| durations::write(micros);
     vec![
         ("seed_lag", time(t.seed_lag)),
         ("reuse_after", time(t.reuse_after)),
@@ -296,7 +296,7 @@
     }
 }
 
-fn fleets(edition: &Edition) -> Vec<&magpieline_almanac::edition::Fleet> {
+fn fleets(edition: &Edition) -> Vec<&magpieline_config::gateway_config::Fleet> {
     let mut fleets: Vec<_> = edition.fleets.values().collect();
     fleets.sort_by(|a, b| a.name.cmp(&b.name));
     fleets
@@ -341,8 +341,8 @@
                 "header_bytes {}, body_bytes {}, header {}, idle {}",
                 allowed.header_bytes,
                 allowed.body_bytes,
-                times::write(allowed.header),
-                times::write(allowed.idle)
+                durations::write(allowed.header),
+                durations::write(allowed.idle)
             ),
         ),
     ]
@@ -365,7 +365,7 @@
             split: counts.split },
         services: services,
         allowances: jzon::object! { header_bytes: allowed.header_bytes, body_bytes: allowed.body_bytes,
-            header: times::write(allowed.header), idle: times::write(allowed.idle) }
+            header: durations::write(allowed.header), idle: durations::write(allowed.idle) }
     }
 }
 
@@ -385,8 +385,8 @@
             route.name.to_string(),
             sort_name(route.sort).to_owned(),
             listed(&to),
-            times::write(route.target),
-            times::write(route.give_up),
+            durations::write(route.target),
+            durations::write(route.give_up),
             route.tries.to_string(),
             route.precedence.to_string(),
         ]);
--- a/programs/orchard/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -1,8 +1,8 @@
 //! The command line: what may be asked for, how it ends, and what is said of wrong use.
 
-mod caller;
 mod check;
-mod orders;
+mod operator_client;
+mod operator_commands;
 mod serve;
 mod store;
 mod tables;
@@ -10,7 +10,7 @@
 
 use crate::clock::Micros;
 use gumdrop::{Options, ParsingStyle};
-use magpieline_almanac::times;
+use magpieline_config::durations;
 use std::io::Write;
 use std::net::SocketAddrV4;
 use std::process::ExitCode;
@@ -48,7 +48,7 @@
 
 #[derive(Options)]
 struct Arguments {
-    #[options(help = "prints this; `orchard COMMAND --help` tells of a command")]
+    #[options(help = "prints this; `magpieline-gateway COMMAND --help` tells of a command")]
     help: bool,
     #[options(short = "V", help = "prints the version")]
     version: bool,
@@ -59,17 +59,17 @@
 #[derive(Options)]
 enum Command {
     #[options(help = "carries clients' requests to appliances")]
-    Counter(serve::Options),
+    Proxy(serve::Options),
     #[options(help = "keeps what is agreed on, and leads the counters")]
-    Sorting(serve::Options),
+    Controller(serve::Options),
     #[options(help = "checks settings files and configurations")]
     Check(check::Options),
     #[options(help = "sends a configuration")]
-    Send(orders::SendOptions),
+    Send(operator_commands::SendOptions),
     #[options(help = "reads the configuration in force")]
-    Read(orders::ReadOptions),
+    Read(operator_commands::ReadOptions),
     #[options(help = "orders a rollout, or tells how one stands")]
-    Rollout(orders::RolloutOptions),
+    Rollout(operator_commands::RolloutOptions),
     #[options(help = "shows running agents' views: members, editions, rollouts")]
     View(views::Options),
     #[options(help = "shows what a sorting machine's store holds, without writing to it")]
@@ -79,41 +79,60 @@
 /// What a command takes beside its options, and examples of it.
 const SHAPES: [(&str, &str, &[&str]); 8] = [
     (
-        "counter",
+        "proxy",
         "",
-        &["orchard counter --settings /etc/magpieline/node.toml", "orchard counter --log info,session=debug"],
+        &[
+            "magpieline-gateway proxy --settings /etc/magpieline/node.toml",
+            "magpieline-gateway proxy --log info,session=debug",
+        ],
+    ),
+    (
+        "controller",
+        "",
+        &[
+            "magpieline-gateway controller --settings /etc/magpieline/node.toml",
+            "magpieline-gateway controller --json",
+        ],
     ),
-    ("sorting", "", &["orchard sorting --settings /etc/magpieline/node.toml", "orchard sorting --json"]),
     (
         "check",
         " FILE...",
-        &["orchard check /etc/magpieline/node.toml gateway.json", "orchard check --routes - < gateway.json"],
+        &[
+            "magpieline-gateway check /etc/magpieline/node.toml gateway.json",
+            "magpieline-gateway check --routes - < gateway.json",
+        ],
     ),
-    ("send", " ADDRESS FILE", &["orchard send 10.1.0.16:8166,10.2.0.33:8166 gateway.json"]),
+    ("send", " ADDRESS FILE", &["magpieline-gateway send 10.1.0.16:8166,10.2.0.33:8166 gateway.json"]),
     (
         "read",
         " ADDRESS",
-        &["orchard read 10.1.0.16:8166", "orchard read --json 10.1.0.16:8166 > gateway.json"],
+        &[
+            "magpieline-gateway read 10.1.0.16:8166",
+            "magpieline-gateway read --json 10.1.0.16:8166 > gateway.json",
+        ],
     ),
     (
         "rollout",
         " ADDRESS SERVICE [VERSION]",
         &[
-            "orchard rollout 10.1.0.16:8166 calendar v2 --within 12s --wait",
-            "orchard rollout 10.1.0.16:8166 calendar",
+            "magpieline-gateway rollout 10.1.0.16:8166 calendar v2 --within 12s --wait",
+            "magpieline-gateway rollout 10.1.0.16:8166 calendar",
         ],
     ),
     (
         "view",
         " ADDRESS...",
-        &["orchard view 10.1.0.16:7720", "orchard view --every 2s 10.1.0.16:7720 10.1.0.13:7720"],
+        &[
+            "magpieline-gateway view 10.1.0.16:7720",
+            "magpieline-gateway view --every 2s 10.1.0.16:7720 10.1.0.13:7720",
+        ],
     ),
     (
         "store",
         " DIR",
         &[
-            "orchard store /var/lib/magpieline",
-            "orchard store --configuration /var/lib/magpieline > gateway.json",
+            "magpieline-gateway store /var/lib/magpieline",
+            "magpieline-gateway store --configuration /var/lib/magpieline > gateway.json",
         ],
     ),
 ];
@@ -137,12 +156,27 @@
 
 /// A time above 0 as operators write it.
 fn time(text: &str) -> Result<Micros, String> {
-    let time = times::read(text).filter(|t| *t > 0);
+    let time = durations::read(text).filter(|t| *t > 0);
     time.ok_or_else(|| format!("found '{text}', expected a time above 0 such as 1500ms or 2.5s"))
 }
 
+/// Names that commands had in earlier releases, and the names that they have now; scripts may still use them.
+const FORMER_NAMES: [(&str, &str); 2] = [("counter", "proxy"), ("sorting", "controller")];
+
+/// The arguments with a former name of a command replaced by its present one.
+fn with_present_name(arguments: &[String]) -> Vec<String> {
+    let mut arguments = arguments.to_vec();
+    if let Some(name) = arguments.first_mut() {
+        if let Some((_, present)) = FORMER_NAMES.iter().find(|(former, _)| former == name) {
+            *name = (*present).to_owned();
+        }
+    }
+    arguments
+}
+
 /// Runs what the command line asks for.
 pub fn run(arguments: &[String]) -> End {
+    let arguments = &with_present_name(arguments)[..];
     let parsed = match Arguments::parse_args(arguments, ParsingStyle::AllOptions) {
         Ok(parsed) => parsed,
         Err(wrong) => return misused(arguments, &wrong.to_string()),
@@ -152,16 +186,16 @@
         return End::Done;
     }
     if parsed.version {
-        say(concat!("orchard ", env!("CARGO_PKG_VERSION"), "\n"));
+        say(concat!("magpieline-gateway ", env!("CARGO_PKG_VERSION"), "\n"));
         return End::Done;
     }
     let done = match parsed.command {
-        Some(Command::Counter(options)) => serve::counter(options),
-        Some(Command::Sorting(options)) => serve::sorting(options),
+        Some(Command::Proxy(options)) => serve::proxy(options),
+        Some(Command::Controller(options)) => serve::controller(options),
         Some(Command::Check(options)) => check::run(&options),
-        Some(Command::Send(options)) => orders::send(&options),
-        Some(Command::Read(options)) => orders::read(&options),
-        Some(Command::Rollout(options)) => orders::rollout(&options),
+        Some(Command::Send(options)) => operator_commands::send(&options),
+        Some(Command::Read(options)) => operator_commands::read(&options),
+        Some(Command::Rollout(options)) => operator_commands::rollout(&options),
         Some(Command::View(options)) => views::run(&options),
         Some(Command::Store(options)) => store::run(&options),
         None => Err("expected a command".into()),
@@ -173,7 +207,7 @@
 fn misused(arguments: &[String], wrong: &str) -> End {
     let command = arguments.iter().map(String::as_str).find(|a| !a.starts_with('-'));
     let command = command.filter(|c| Command::command_usage(c).is_some());
-    let name = command.map_or("orchard".to_owned(), |c| format!("orchard {c}"));
+    let name = command.map_or("magpieline-gateway".to_owned(), |c| format!("magpieline-gateway {c}"));
     eprintln!("{name}: {wrong}\n\n{}", help(command).trim_end());
     End::Misused
 }
@@ -184,8 +218,8 @@
     let Some((name, takes, examples)) = shape else {
         let commands = Arguments::command_list().unwrap_or_default();
         return format!(
-            "orchard, the gateway: counters carry clients' requests, sorting machines keep what is agreed on.\n\n\
-             Usage: orchard COMMAND [OPTIONS] ...\n\nCommands:\n{commands}\n\n{}\n\n\
+            "magpieline-gateway, the gateway: counters carry clients' requests, sorting machines keep what is agreed on.\n\n\
+             Usage: magpieline-gateway COMMAND [OPTIONS] ...\n\nCommands:\n{commands}\n\n{}\n\n\
              Exit codes: 0 done, 1 refused or failed, 2 wrong use.\n",
             Arguments::usage()
         );
@@ -194,7 +228,7 @@
     let about = list.lines().find_map(|l| l.trim().strip_prefix(*name)).unwrap_or_default().trim();
     let usage = Command::command_usage(name).unwrap_or_default();
     let examples: String = examples.iter().map(|e| format!("  {e}\n")).collect();
-    format!("orchard {name}: {about}\n\nUsage: orchard {name} [OPTIONS]{takes}\n\n{usage}\n\nExamples:\n{examples}")
+    format!("magpieline-gateway {name}: {about}\n\nUsage: magpieline-gateway {name} [OPTIONS]{takes}\n\n{usage}\n\nExamples:\n{examples}")
 }
 
 /// Prints to standard output; false once nobody reads it any more.
@@ -220,7 +254,7 @@
         assert_eq!(list.lines().count(), SHAPES.len());
         for (name, _, examples) in SHAPES {
             assert!(list.lines().any(|l| l.trim().starts_with(name)), "{name} is not listed");
-            assert!(help(Some(name)).contains("Examples:\n  orchard "), "{name}");
+            assert!(help(Some(name)).contains("Examples:\n  magpieline-gateway "), "{name}");
             for example in examples {
                 let plain = example.split([' ']).skip(1).take_while(|w| !["<", ">"].contains(w));
                 let words: Vec<&str> = plain.collect();
--- a/programs/orchard/src/commands/caller.rs
+++ b/crates/gateway/src/commands/operator_client.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{CONTENT_TYPE, HOST, LOCATION};
 use hyper::Request;
-use magpieline_almanac::times;
+use magpieline_config::durations;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use tokio::time::timeout;
@@ -112,7 +112,7 @@
         let (status, moved, text) = match timeout(span(within), post(at, &path, body)).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(wrong)) => return Err((at, wrong)),
-            Err(_) => return Err((at, format!("no answer within {}", times::write(within)))),
+            Err(_) => return Err((at, format!("no answer within {}", durations::write(within)))),
         };
         if next(status) != Next::Move {
             return Ok((at, status, text));
--- a/programs/orchard/src/commands/orders.rs
+++ b/crates/gateway/src/commands/operator_commands.rs
@@ -1,13 +1,13 @@
 //! What operators ask of the sorting machines: a configuration, rollouts, and what is in force.
 
-use super::caller::{call, faults, Answer, Failed};
 use super::check::{complaints, edition_lines, read as read_file, route_table};
+use super::operator_client::{call, faults, Answer, Failed};
 use super::tables::pairs;
 use super::{say, time, wait_for, Addresses, End};
 use crate::clock::{now, span, Micros};
 use jzon::JsonValue as Json;
-use magpieline_almanac::edition::Edition;
-use magpieline_almanac::times;
+use magpieline_config::durations;
+use magpieline_config::gateway_config::Edition;
 
 /// A rollout that is waited for is asked about this often,
 const ASK_EVERY: Micros = 500_000;
@@ -106,7 +106,7 @@
     };
     let edition = match Edition::examine(&text) {
         Ok(edition) => Some(edition.number),
-        Err(_) if options.unchecked => magpieline_almanac::edition::number_of(&text),
+        Err(_) if options.unchecked => magpieline_config::gateway_config::number_of(&text),
         Err(wrong) => {
             let list: String = wrong.iter().map(|c| format!("\n  {c}")).collect();
             let sentence = format!("{file}: not sent, as it is no sound configuration:{list}");
@@ -139,7 +139,7 @@
     let Some(held) = held else {
         return (true, format!("{said}; it could not be read back."));
     };
-    let newest = magpieline_almanac::edition::number_of(&held.text);
+    let newest = magpieline_config::gateway_config::number_of(&held.text);
     let alike =
         held.text == text || matches!((jzon::parse(&held.text), jzon::parse(text)), (Ok(a), Ok(b)) if a == b);
     match newest {
@@ -189,7 +189,7 @@
     wait_for(async {
         if let Some((version, within)) = term {
             let body = jzon::object! { service: service.as_str(), to_edition: version.as_str(),
-            within: times::write(within) };
+            within: durations::write(within) };
             let called =
                 call(&options.address.0, "call=editions.begin", &body.dump(), options.patience).await;
             if let Err(wrong) = called {
--- a/programs/orchard/src/commands/serve.rs
+++ b/crates/gateway/src/commands/serve.rs
@@ -2,7 +2,7 @@
 
 use super::{wait_for, End};
 use crate::settings::{self, Held, Watcher};
-use crate::{clock, counter, log, sorting};
+use crate::{clock, controller, log, proxy};
 use std::future::Future;
 use std::path::PathBuf;
 use std::pin::Pin;
@@ -28,12 +28,12 @@
 
 type Running = Pin<Box<dyn Future<Output = std::io::Result<()>>>>;
 
-pub fn counter(options: Options) -> Result<End, String> {
-    start("counter", options, |settings, life| Box::pin(counter::run(settings, life)))
+pub fn proxy(options: Options) -> Result<End, String> {
+    start("proxy", options, |settings, life| Box::pin(proxy::run(settings, life)))
 }
 
-pub fn sorting(options: Options) -> Result<End, String> {
-    start("sorting", options, |settings, life| Box::pin(sorting::run(settings, life)))
+pub fn controller(options: Options) -> Result<End, String> {
+    start("controller", options, |settings, life| Box::pin(controller::run(settings, life)))
 }
 
 /// Reads the settings file and runs a role until the platform ends it.
--- a/programs/orchard/src/commands/store.rs
+++ b/crates/gateway/src/commands/store.rs
@@ -3,10 +3,10 @@
 use super::tables::{columns, listed, pairs};
 use super::{say, End};
 use jzon::JsonValue as Json;
-use magpieline_almanac::times;
-use magpieline_granary::{inspect, is_in_use, Error, Inspection};
-use magpieline_rootstock::{Entry, Payload, Seat, Stored};
-use magpieline_trellis::records::{Command, Records};
+use magpieline_config::durations;
+use magpieline_control_plane::state_machine::{Command, Records};
+use magpieline_raft::{Entry, Payload, Seat, Stored};
+use magpieline_raft_store::{inspect, is_in_use, Error, Inspection};
 use std::path::Path;
 use std::time::Duration;
 
@@ -97,7 +97,7 @@
     match command {
         Command::Replace(kept) => ("replace", format!("edition {}, {} bytes", kept.number, kept.text.len())),
         Command::Begin { service, to, within } | Command::Order { service, to, within, .. } => {
-            ("begin", format!("{service} to {to} within {}", times::write(*within)))
+            ("begin", format!("{service} to {to} within {}", durations::write(*within)))
         }
         Command::Advance { service, order, phase } => {
             ("advance", format!("{service}, order {order}: {phase:?}"))
@@ -306,7 +306,7 @@
     let mut rows = vec![["service", "stands", "rollout", "barred"].map(str::to_owned).to_vec()];
     for (name, standing) in &records.services {
         let rollout = standing.rollout.as_ref().map_or("none".into(), |r| {
-            format!("to {}: {:?} (order {}, within {})", r.to, r.phase, r.order, times::write(r.within))
+            format!("to {}: {:?} (order {}, within {})", r.to, r.phase, r.order, durations::write(r.within))
         });
         let stands = standing.version.clone().unwrap_or_else(|| "not known".into());
         rows.push(vec![name.clone(), stands, rollout, listed(&standing.barred)]);
--- a/programs/orchard/src/sorting/lister.rs
+++ b/crates/gateway/src/controller/endpoint_discovery.rs
@@ -1,10 +1,10 @@
 //! The leader reads the platform's list and tells the counters what has changed.
 
 use super::Sorting;
-use crate::carrier::{Carrier, Failed, List, Reading};
 use crate::clock::{now, span, Micros};
-use magpieline_trellis::records::Command;
-use magpieline_trellis::words::{Down, Entry, Listing};
+use crate::platform_client::{Carrier, Failed, List, Reading};
+use magpieline_control_plane::messages::{Down, Entry, Listing};
+use magpieline_control_plane::state_machine::Command;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/programs/orchard/src/sorting/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -1,29 +1,29 @@
 //! The sorting machine: keeps what is agreed on, and while it leads tells the counters.
 
-mod control;
-pub mod council;
-mod counters;
-mod lister;
-pub mod lives;
-mod mouth;
-mod steward;
-pub mod way;
+mod endpoint_discovery;
+pub mod leader_redirect;
+mod operator_api;
+mod proxy_outbox;
+mod proxy_sessions;
+pub mod raft_driver;
+mod rollout_controller;
+pub mod store_recovery;
 
-use crate::carrier::Reading;
 use crate::clock::{self, now, Micros};
 use crate::net;
+use crate::platform_client::Reading;
 use crate::settings::Held;
-use council::Council;
 use jzon::JsonValue as Json;
-use magpieline_almanac::edition::Edition;
-use magpieline_almanac::machine::Machine;
-use magpieline_almanac::place::Complaint;
-use magpieline_rootstock::Seat;
-use magpieline_trellis::feed::Feeds;
-use magpieline_trellis::orders::Witness;
-use magpieline_trellis::records::{Command, Effect, Records};
-use magpieline_trellis::roster::Roster;
-use magpieline_trellis::words::{self, Down, Listing, Stage};
+use magpieline_config::gateway_config::Edition;
+use magpieline_config::node_settings::Machine;
+use magpieline_config::place::Complaint;
+use magpieline_control_plane::config_sender::Feeds;
+use magpieline_control_plane::deduplication::Witness;
+use magpieline_control_plane::messages::{self, Down, Listing, Stage};
+use magpieline_control_plane::proxy_registry::Roster;
+use magpieline_control_plane::state_machine::{Command, Effect, Records};
+use magpieline_raft::Seat;
+use raft_driver::Council;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -54,7 +54,7 @@
     pub witness: Witness,
     pub roster: Roster,
     /// What counters that hold on to this machine are told.
-    mouth: mouth::Mouth,
+    mouth: proxy_outbox::Mouth,
     /// How editions go out to them.
     feeds: Feeds,
     /// How far trials are open, by service: the order and its stage.
@@ -69,7 +69,7 @@
             records: Records::default(),
             witness,
             roster: Roster::default(),
-            mouth: mouth::Mouth::default(),
+            mouth: proxy_outbox::Mouth::default(),
             feeds: Feeds::default(),
             stages: BTreeMap::new(),
             list: None,
@@ -235,7 +235,7 @@
         let age = now().saturating_sub(reading.at);
         let entries = reading.list.iter().map(|(id, entry)| {
             let cold = entry.cold.saturating_sub(age);
-            (id.clone(), Some(words::Entry { cold, ..entry.clone() }))
+            (id.clone(), Some(messages::Entry { cold, ..entry.clone() }))
         });
         Some(Listing { whole: true, entries: entries.collect() })
     }
@@ -261,7 +261,9 @@
     };
     let inner = SocketAddrV4::new(machine.ip, machine.inner_ports.0);
     // Nobody is kept waiting at a door behind which nothing runs yet.
-    let Some((council, driver)) = lives::open(&machine, &store, life).await else { return Ok(false) };
+    let Some((council, driver)) = store_recovery::open(&machine, &store, life).await else {
+        return Ok(false);
+    };
     let door = net::listen(control)?;
     let inner = net::listen(inner)?;
     let state = State::new(Witness::new(now(), clock::day()));
@@ -269,10 +271,10 @@
         Arc::new(Sorting { machine, settings, state: Mutex::new(state), council, sent: Mutex::default() });
     let mut driving = tokio::spawn(driver.run(sorting.clone()));
     let others = [
-        tokio::spawn(counters::run(sorting.clone(), inner)),
-        tokio::spawn(control::run(sorting.clone(), door)),
-        tokio::spawn(lister::run(sorting.clone())),
-        tokio::spawn(steward::run(sorting.clone())),
+        tokio::spawn(proxy_sessions::run(sorting.clone(), inner)),
+        tokio::spawn(operator_api::run(sorting.clone(), door)),
+        tokio::spawn(endpoint_discovery::run(sorting.clone())),
+        tokio::spawn(rollout_controller::run(sorting.clone())),
     ];
     tokio::select! {
         () = crate::signals::terminated() => {}
@@ -283,7 +285,7 @@
             }
             let stop = stop.map_err(|broken| std::io::Error::other(format!("the agreement broke: {broken}")))?;
             let others = sorting.others();
-            return Ok(lives::begin_anew(&stop, &store, &others).await);
+            return Ok(store_recovery::begin_anew(&stop, &store, &others).await);
         }
     }
     let begun = now();
--- a/programs/orchard/src/sorting/control.rs
+++ b/crates/gateway/src/controller/operator_api.rs
@@ -1,7 +1,7 @@
 //! The operators' calls.
 
-use super::council::Refusal;
-use super::way::{way, Way};
+use super::leader_redirect::{way, Way};
+use super::raft_driver::Refusal;
 use super::Sorting;
 use crate::clock::{day, now, span, Micros};
 use crate::net::{self, Wire};
@@ -11,10 +11,10 @@
 use hyper::header::{HeaderValue, CONTENT_TYPE, LOCATION};
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use magpieline_almanac::place::Complaint;
-use magpieline_almanac::times;
-use magpieline_trellis::orders::Digest;
-use magpieline_trellis::records::{Command, Effect, Kept, Phase};
+use magpieline_config::durations;
+use magpieline_config::place::Complaint;
+use magpieline_control_plane::deduplication::Digest;
+use magpieline_control_plane::state_machine::{Command, Effect, Kept, Phase};
 use std::convert::Infallible;
 use std::sync::Arc;
 use tokio::net::TcpListener;
@@ -238,7 +238,7 @@
     let Some(to) = to.filter(|t| !t.is_empty()) else {
         return plain(StatusCode::BAD_REQUEST, "to_edition", "nothing", "a text");
     };
-    let Some(within) = order["within"].as_str().and_then(times::read).filter(|w| *w > 0) else {
+    let Some(within) = order["within"].as_str().and_then(durations::read).filter(|w| *w > 0) else {
         let found = order["within"].dump();
         return plain(StatusCode::BAD_REQUEST, "within", &found, "a time above 0 such as 12s");
     };
@@ -262,7 +262,8 @@
     };
     match &effect {
         Effect::OtherRollout(other) => {
-            let found = format!("a rollout to {} within {} under way", other.to, times::write(other.within));
+            let found =
+                format!("a rollout to {} within {} under way", other.to, durations::write(other.within));
             plain(StatusCode::CONFLICT, "service", &found, "none, or the same order again")
         }
         taken if taken.is_taken() => {
--- a/programs/orchard/src/sorting/mouth.rs
+++ b/crates/gateway/src/controller/proxy_outbox.rs
@@ -4,9 +4,9 @@
 use crate::clock::now;
 use bytes::Bytes;
 use jzon::JsonValue as Json;
-use magpieline_trellis::feed::{Action, Event};
-use magpieline_trellis::words::{self, Down, Fenced};
-use magpieline_trellis::Micros;
+use magpieline_control_plane::config_sender::{Action, Event};
+use magpieline_control_plane::messages::{self, Down, Fenced};
+use magpieline_control_plane::Micros;
 use std::collections::HashMap;
 use tokio::sync::{mpsc, oneshot};
 
@@ -69,7 +69,7 @@
     fn fenced(&self, word: &Down) -> Bytes {
         // Without one there is no link.
         let term = self.roster.term().unwrap_or(0);
-        words::frame(&Fenced { term, word }).into()
+        messages::frame(&Fenced { term, word }).into()
     }
 
     /// A sign of life to all counters.
--- a/programs/orchard/src/sorting/counters.rs
+++ b/crates/gateway/src/controller/proxy_sessions.rs
@@ -1,14 +1,14 @@
 //! Links from other agents: counters that hold on to the leader, and other sorting machines.
 
-use super::mouth::Queue;
-use super::way::{way, Way};
+use super::leader_redirect::{way, Way};
+use super::proxy_outbox::Queue;
 use super::Sorting;
 use crate::clock::{now, span, Micros};
 use crate::net::{self, Frames};
 use crate::view;
-use magpieline_rootstock::Envelope;
-use magpieline_trellis::feed::Event;
-use magpieline_trellis::words::{Down, Fenced, Hello, Opening, Up};
+use magpieline_control_plane::config_sender::Event;
+use magpieline_control_plane::messages::{Down, Fenced, Hello, Opening, Up};
+use magpieline_raft::Envelope;
 use socket2::SockRef;
 use std::sync::Arc;
 use std::time::Duration;
--- a/programs/orchard/src/sorting/council.rs
+++ b/crates/gateway/src/controller/raft_driver.rs
@@ -1,18 +1,18 @@
 //! The agreement among the sorting machines, driven: its core gets events from links, the disk and the clock, and its
 //! actions are carried out. One task owns the core; others ask it by messages.
 
-use super::way::Sight;
+use super::leader_redirect::Sight;
 use super::Sorting;
 use crate::clock::{self, now, Micros};
 use crate::net;
-use magpieline_almanac::machine::Machine;
-use magpieline_granary::{self as granary, Granary, Remedy};
-use magpieline_rootstock::{
+use magpieline_config::node_settings::Machine;
+use magpieline_control_plane::codec::Unreadable;
+use magpieline_control_plane::messages::{self, Opening};
+use magpieline_control_plane::state_machine::{Command, Effect, Records};
+use magpieline_raft::{
     Action, Batch, Contact, Core, Envelope, Event, Outcome, Role, Seat, Start, MAX_VOTERS,
 };
-use magpieline_trellis::form::Unreadable;
-use magpieline_trellis::records::{Command, Effect, Records};
-use magpieline_trellis::words::{self, Opening};
+use magpieline_raft_store::{self as granary, Granary, Remedy};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -408,7 +408,7 @@
             continue;
         }
         let mut next = first;
-        while stream.write_all(&words::frame(&next)).await.is_ok() {
+        while stream.write_all(&messages::frame(&next)).await.is_ok() {
             let Some(message) = messages.recv().await else { return };
             next = message;
         }
--- a/programs/orchard/src/sorting/steward.rs
+++ b/crates/gateway/src/controller/rollout_controller.rs
@@ -2,9 +2,9 @@
 
 use super::Sorting;
 use crate::clock::{now, span, Micros};
-use magpieline_scion::jury::{Jury, Look, Step};
-use magpieline_trellis::records::{Command, Phase, Rollout};
-use magpieline_trellis::words::{Down, State as ListState};
+use magpieline_control_plane::messages::{Down, State as ListState};
+use magpieline_control_plane::state_machine::{Command, Phase, Rollout};
+use magpieline_rollout::analysis::{Jury, Look, Step};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/programs/orchard/src/sorting/lives.rs
+++ b/crates/gateway/src/controller/store_recovery.rs
@@ -2,11 +2,11 @@
 //! not add up is set aside and the machine goes on as an empty one, and one that is too new is left alone. Ending the
 //! process would be no remedy: it would be started again on the same store.
 
-use super::council::{Council, Driver, Stop};
+use super::raft_driver::{Council, Driver, Stop};
 use crate::clock::{now, span, Micros};
 use crate::{signals, view};
-use magpieline_almanac::machine::Machine;
-use magpieline_granary::{set_aside, Error, Folder, Remedy};
+use magpieline_config::node_settings::Machine;
+use magpieline_raft_store::{set_aside, Error, Folder, Remedy};
 use std::net::SocketAddrV4;
 use std::path::Path;
 
--- a/programs/orchard/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -2,5 +2,5 @@
 
 fn main() -> std::process::ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    magpieline_orchard::commands::run(&arguments).into()
+    magpieline_gateway::commands::run(&arguments).into()
 }
--- a/programs/orchard/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -2,7 +2,7 @@
 //! and what lets hyper read and write tokio's streams.
 
 use crate::clock::{span, Micros};
-use magpieline_trellis::words;
+use magpieline_control_plane::messages;
 use serde::{Deserialize, Serialize};
 use socket2::{SockRef, TcpKeepalive};
 use std::cell::RefCell;
@@ -69,7 +69,7 @@
     /// The next message; none at the end. Cancel safe.
     pub async fn next<T: for<'a> Deserialize<'a>>(&mut self) -> io::Result<Option<T>> {
         loop {
-            match words::unframe(&mut self.bytes) {
+            match messages::unframe(&mut self.bytes) {
                 Ok(Some(message)) => return Ok(Some(message)),
                 Ok(None) => {}
                 Err(wrong) => return Err(io::Error::new(io::ErrorKind::InvalidData, wrong.to_string())),
@@ -86,7 +86,7 @@
 
 /// Writes a message as a frame.
 pub async fn say<W: AsyncWrite + Unpin, T: Serialize>(to: &mut W, message: &T) -> io::Result<()> {
-    to.write_all(&words::frame(message)).await
+    to.write_all(&messages::frame(message)).await
 }
 
 thread_local! {
--- a/programs/orchard/src/carrier.rs
+++ b/crates/gateway/src/platform_client.rs
@@ -8,8 +8,8 @@
 use hyper::client::conn::http1::SendRequest;
 use hyper::Request;
 use jzon::JsonValue as Json;
-use magpieline_almanac::times;
-use magpieline_trellis::words::{Entry, State};
+use magpieline_config::durations;
+use magpieline_control_plane::messages::{Entry, State};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -132,7 +132,7 @@
         berths: body["berths"].as_u32().unwrap_or(1),
         // What it does not say to be ready is not sent to.
         state: if body["state"].as_str() == Some("ready") { State::Ready } else { State::Closing },
-        cold: body["cold_left"].as_str().and_then(times::read).unwrap_or(0),
+        cold: body["cold_left"].as_str().and_then(durations::read).unwrap_or(0),
     })
 }
 
--- a/programs/orchard/src/counter/doorway.rs
+++ b/crates/gateway/src/proxy/client_connection.rs
@@ -1,15 +1,15 @@
-//! Clients' connections: furrow's doorway between a stream and hyper, which sees no byte before it was checked.
+//! Clients' connections: http1's doorway between a stream and hyper, which sees no byte before it was checked.
 //!
 //! The task of a connection reads its stream whether hyper wants to read or not, shows hyper one request at a time,
 //! takes all that hyper writes, and has requests started early. What hyper must not answer is answered here, after
 //! hyper has answered all that came before.
 
-use super::front::Reply;
+use super::request_handler::Reply;
 use crate::clock::{now, span, Micros};
 use crate::net::poll_some;
 use hyper::body::Body;
-use magpieline_furrow::framing::doorway::{Bounds, Doorway, Early, Stand};
-use magpieline_furrow::framing::Wrong;
+use magpieline_http1::framing::request_framing::{Bounds, Doorway, Early, Stand};
+use magpieline_http1::framing::Wrong;
 use std::collections::VecDeque;
 use std::future::{poll_fn, Future};
 use std::io;
--- a/programs/orchard/src/counter/pool.rs
+++ b/crates/gateway/src/proxy/connection_pool.rs
@@ -1,6 +1,6 @@
 //! Connections to appliances that wait for their next request.
 
-use super::echo::Line;
+use super::upstream_connection::Line;
 use crate::clock::{now, Micros};
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
--- a/programs/orchard/src/counter/session.rs
+++ b/crates/gateway/src/proxy/controller_session.rs
@@ -3,10 +3,10 @@
 use super::Counter;
 use crate::clock::{self, now};
 use crate::net::{self, Frames};
-use magpieline_almanac::machine::Machine;
-use magpieline_trellis::intake::{Intake, Taken};
-use magpieline_trellis::tendril::{Action, Event, Tendril};
-use magpieline_trellis::words::{Down, Fenced, Hello, Opening, Report, Up};
+use magpieline_config::node_settings::Machine;
+use magpieline_control_plane::config_receiver::{Intake, Taken};
+use magpieline_control_plane::controller_client::{Action, Event, Tendril};
+use magpieline_control_plane::messages::{Down, Fenced, Hello, Opening, Report, Up};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/programs/orchard/src/counter/list.rs
+++ b/crates/gateway/src/proxy/fallback_discovery.rs
@@ -1,9 +1,9 @@
 //! The platform's list read by the counter itself, while no leader tells it of changes.
 
 use super::Counter;
-use crate::carrier::Carrier;
 use crate::clock::{now, span, Micros};
-use magpieline_trellis::words::Listing;
+use crate::platform_client::Carrier;
+use magpieline_control_plane::messages::Listing;
 use rand::Rng;
 use std::sync::Arc;
 
--- a/programs/orchard/src/counter/loopback.rs
+++ b/crates/gateway/src/proxy/loopback_tests.rs
@@ -1,9 +1,9 @@
 //! The counter between a client and an appliance played by the tests. They wait for what is to come, for no time.
 
-use super::{front, Counter};
-use magpieline_almanac::machine::Machine;
-use magpieline_trellis::records::Kept;
-use magpieline_trellis::words::{Entry, Listing, State};
+use super::{request_handler, Counter};
+use magpieline_config::node_settings::Machine;
+use magpieline_control_plane::messages::{Entry, Listing, State};
+use magpieline_control_plane::state_machine::Kept;
 use std::future::Future;
 use std::net::SocketAddrV4;
 use std::sync::atomic::Ordering;
@@ -105,7 +105,7 @@
         let counter = Arc::new(Counter::new(
             tokio::sync::watch::channel(Arc::new(Machine::read(MACHINE).expect("sound"))).1,
             1,
-            super::dial::tcp(),
+            super::connect::tcp(),
         ));
         counter.take_edition(&Kept { number: 1, text: edition.into() });
         let entry = Entry {
@@ -120,7 +120,7 @@
         counter.take_listing(&Listing { whole: true, entries: vec![("i-1".into(), Some(entry))] });
         counter.confirmed();
         let (near, door) = local().await;
-        tokio::spawn(front::run(counter.clone(), near));
+        tokio::spawn(request_handler::run(counter.clone(), near));
         Stage { counter, door, asked }
     }
 
--- a/programs/orchard/src/counter/mod.rs
+++ b/crates/gateway/src/proxy/mod.rs
@@ -1,33 +1,33 @@
 //! The counter: carries clients' requests to appliances.
 
-pub mod dial;
-mod doorway;
-mod echo;
-mod forward;
-pub mod front;
-mod list;
+mod client_connection;
+pub mod connect;
+mod connection_pool;
+mod controller_session;
+mod fallback_discovery;
 #[cfg(test)]
-mod loopback;
-mod pool;
-mod ready;
-mod retune;
-mod session;
+mod loopback_tests;
+mod readiness;
+pub mod request_handler;
+mod settings_reload;
+mod upstream_connection;
+mod upstream_request;
 
 use crate::clock::{now, Micros};
 use crate::net::{self, Frames};
 use crate::settings::Held;
 use crate::view;
-use dial::Dial;
+use connect::Dial;
+use connection_pool::Pool;
 use jzon::JsonValue as Json;
-use magpieline_almanac::edition::Edition;
-use magpieline_almanac::machine::Machine;
-use magpieline_furrow::orders::Orders;
-use magpieline_scion::trial::Trial;
-use magpieline_trellis::records::{Kept, Phase, Standing};
-use magpieline_trellis::words::{Evidence, Listing, Opening, Stage, State as ListState};
-use magpieline_windrow::budget::Budget;
-use magpieline_windrow::field::{Field, Listed};
-use pool::Pool;
+use magpieline_config::gateway_config::Edition;
+use magpieline_config::node_settings::Machine;
+use magpieline_control_plane::messages::{Evidence, Listing, Opening, Stage, State as ListState};
+use magpieline_control_plane::state_machine::{Kept, Phase, Standing};
+use magpieline_http1::orders::Orders;
+use magpieline_load_balancer::endpoint_selection::{Field, Listed};
+use magpieline_load_balancer::retry_budget::Budget;
+use magpieline_rollout::trial::Trial;
 use rand::Rng;
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -420,8 +420,9 @@
     /// Whether a version of a service may get ordinary requests.
     pub fn carries(standing: Option<&Standing>, version: &str) -> bool {
         let Some(standing) = standing else { return true };
-        let decided =
-            |r: &&magpieline_trellis::records::Rollout| matches!(r.phase, Phase::Moving | Phase::Delivered);
+        let decided = |r: &&magpieline_control_plane::state_machine::Rollout| {
+            matches!(r.phase, Phase::Moving | Phase::Delivered)
+        };
         match (standing.rollout.as_ref().filter(decided), &standing.version) {
             (Some(rollout), _) => rollout.to == version,
             (None, Some(stands)) => stands == version,
@@ -463,7 +464,7 @@
 
 /// Serves until SIGTERM.
 pub async fn run(settings: Held, life: u64) -> std::io::Result<()> {
-    let counter = Arc::new(Counter::new(settings, life, dial::tcp()));
+    let counter = Arc::new(Counter::new(settings, life, connect::tcp()));
     let machine = &counter.machine;
     let (Some(front), Some(ready)) =
         (machine.posts.get("front").copied(), machine.posts.get("ready").copied())
@@ -475,11 +476,11 @@
     let inner = net::listen(SocketAddrV4::new(counter.machine.ip, counter.machine.inner_ports.0))?;
     tokio::spawn(shown(counter.clone(), inner));
     tokio::spawn(swept(counter.clone()));
-    tokio::spawn(retune::run(counter.clone()));
-    tokio::spawn(ready::run(counter.clone(), asked));
-    tokio::spawn(session::run(counter.clone()));
-    tokio::spawn(list::run(counter.clone()));
-    let serving = tokio::spawn(front::run(counter.clone(), door));
+    tokio::spawn(settings_reload::run(counter.clone()));
+    tokio::spawn(readiness::run(counter.clone(), asked));
+    tokio::spawn(controller_session::run(counter.clone()));
+    tokio::spawn(fallback_discovery::run(counter.clone()));
+    let serving = tokio::spawn(request_handler::run(counter.clone(), door));
     crate::signals::terminated().await;
     tracing::info!(target: "counter", "Leaving: {} requests in hand.", counter.in_hand.load(Ordering::Relaxed));
     counter.leave();
--- a/programs/orchard/src/counter/front.rs
+++ b/crates/gateway/src/proxy/request_handler.rs
@@ -1,8 +1,8 @@
 //! Clients' side: connections, requests as they come, and the one answer of each.
 
-use super::dial::Stream;
-use super::doorway::{Side, Started, Visit, LAST_IDLE};
-use super::forward::{self, Answer, Errand, Parcel};
+use super::client_connection::{Side, Started, Visit, LAST_IDLE};
+use super::connect::Stream;
+use super::upstream_request::{self, Answer, Errand, Parcel};
 use super::{Counter, State};
 use crate::clock::{self, now, span, Micros};
 use crate::net;
@@ -13,12 +13,12 @@
 use hyper::http::request::Parts;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode, Uri};
-use magpieline_almanac::edition::Edition;
-use magpieline_almanac::routes::{Route, Sort};
-use magpieline_furrow::framing::doorway::{Bounds, Early};
-use magpieline_furrow::framing::head;
-use magpieline_furrow::journey::{come_back, Ending, Journey, Next};
-use magpieline_windrow::field::{Ask, Nobody};
+use magpieline_config::gateway_config::Edition;
+use magpieline_config::route_table::{Route, Sort};
+use magpieline_http1::attempt_outcome::{come_back, Ending, Journey, Next};
+use magpieline_http1::framing::head;
+use magpieline_http1::framing::request_framing::{Bounds, Early};
+use magpieline_load_balancer::endpoint_selection::{Ask, Nobody};
 use rand::Rng;
 use std::convert::Infallible;
 use std::sync::atomic::Ordering;
@@ -266,7 +266,8 @@
         Some(path) if head.uri.scheme().is_some() => Uri::from(path.clone()),
         _ => head.uri,
     };
-    let parcel = Parcel { method: head.method, uri, headers: forward::passed_on(head.headers), body, due };
+    let parcel =
+        Parcel { method: head.method, uri, headers: upstream_request::passed_on(head.headers), body, due };
     carry(counter, edition, route, Arc::new(parcel)).await
 }
 
@@ -376,7 +377,7 @@
         self.tried.push(chosen);
         self.journey.sent();
         self.arrived += 1;
-        forward::start(self.counter.clone(), chosen, errand, self.parcel.clone(), self.tell.clone());
+        upstream_request::start(self.counter.clone(), chosen, errand, self.parcel.clone(), self.tell.clone());
         Ok(())
     }
 
@@ -399,7 +400,7 @@
     parcel: Arc<Parcel>,
 ) -> Reply {
     let due = parcel.due;
-    let id = parcel.headers.get(forward::TRY_ID).map(|id| id.as_bytes());
+    let id = parcel.headers.get(upstream_request::TRY_ID).map(|id| id.as_bytes());
     let Some(id) = id.filter(|_| route.sort != Sort::Safe) else {
         return own_end(travel(counter, edition, route, parcel.clone()).await, due);
     };
--- a/programs/orchard/src/counter/echo.rs
+++ b/crates/gateway/src/proxy/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! Connections to appliances: furrow's echo between a stream and hyper, which sees only the answer that is due.
+//! Connections to appliances: http1's echo between a stream and hyper, which sees only the answer that is due.
 
 use crate::net::poll_some;
 use bytes::Bytes;
@@ -7,7 +7,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::HeaderName;
 use hyper::{Method, Request, Response};
-use magpieline_furrow::framing::echo::Echo;
+use magpieline_http1::framing::response_framing::Echo;
 use std::io;
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/programs/orchard/src/counter/forward.rs
+++ b/crates/gateway/src/proxy/upstream_request.rs
@@ -1,7 +1,7 @@
 //! One forward: a request to one appliance, and how it ended.
 
-use super::echo::{Line, Recall, Unanswered};
-use super::front::{self, Reply};
+use super::request_handler::{self, Reply};
+use super::upstream_connection::{Line, Recall, Unanswered};
 use super::{Counter, State};
 use crate::clock::{now, span, Micros};
 use bytes::Bytes;
@@ -12,10 +12,10 @@
     TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 use hyper::{Method, Request, Response, Uri};
-use magpieline_almanac::routes::Route;
-use magpieline_furrow::journey::{promises, Ending};
-use magpieline_scion::trial::{number, End, Seen};
-use magpieline_windrow::field::{Load, Sign};
+use magpieline_config::route_table::Route;
+use magpieline_http1::attempt_outcome::{promises, Ending};
+use magpieline_load_balancer::endpoint_selection::{Load, Sign};
+use magpieline_rollout::trial::{number, End, Seen};
 use std::net::SocketAddrV4;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -331,7 +331,7 @@
         return (Ending::Answered { status }, None);
     }
     let headers = passed_on(head.headers);
-    (Ending::Answered { status }, Some(front::answered(head.status, headers, body.to_bytes())))
+    (Ending::Answered { status }, Some(request_handler::answered(head.status, headers, body.to_bytes())))
 }
 
 /// `Load`: requests running, waiting, and slots, joined by commas.
--- a/programs/orchard/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -14,7 +14,7 @@
 //! | `self` (node, class, ip, zone, region, store_dir, first_run, allowances), `network.inner_ports`, `network.posts` | at the next start; a change is logged, and what runs goes on as it began |
 
 use crate::clock::{span, Micros};
-use magpieline_almanac::machine::Machine;
+use magpieline_config::node_settings::Machine;
 use std::io;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -201,7 +201,8 @@
 
     impl Folder {
         fn new(name: &str) -> Folder {
-            let path = std::env::temp_dir().join(format!("orchard-settings-{name}-{}", std::process::id()));
+            let path = std::env::temp_dir()
+                .join(format!("magpieline-gateway-settings-{name}-{}", std::process::id()));
             std::fs::create_dir_all(&path).expect("a folder");
             Folder(path)
         }
--- a/programs/orchard/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -3,7 +3,7 @@
 use crate::clock::Micros;
 use crate::net::{self, Frames};
 use jzon::JsonValue as Json;
-use magpieline_trellis::words::Opening;
+use magpieline_control_plane::messages::Opening;
 use std::net::SocketAddrV4;
 use tokio::io::AsyncWrite;
 
--- a/programs/orchard/tests/commands.rs
+++ b/crates/gateway/tests/commands.rs
@@ -26,8 +26,8 @@
 "sort":"safe","sorting":{"lane_prefix":"/x"},"dispatch":{"service":"s","give_up":"2s"}}]}],
 "fleets":[{"name":"s"},{"name":"unused"}]}"#;
 
-fn orchard(arguments: &[&str], input: &str) -> (i32, String, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_orchard"))
+fn gateway(arguments: &[&str], input: &str) -> (i32, String, String) {
+    let mut child = Command::new(env!("CARGO_BIN_EXE_magpieline-gateway"))
         .args(arguments)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -46,7 +46,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("orchard-commands-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("magpieline-gateway-commands-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
@@ -66,33 +67,33 @@
 
 /// Guards against wrong use that looks like a failure, or is answered by silence: scripts tell them apart by the code.
 #[rstest]
-#[case(&[], "orchard: expected a command")]
-#[case(&["chek"], "orchard: unrecognized command `chek`")]
-#[case(&["--no-such"], "orchard: unrecognized option `--no-such`")]
-#[case(&["check"], "orchard check: missing required free argument")]
+#[case(&[], "magpieline-gateway: expected a command")]
+#[case(&["chek"], "magpieline-gateway: unrecognized command `chek`")]
+#[case(&["--no-such"], "magpieline-gateway: unrecognized option `--no-such`")]
+#[case(&["check"], "magpieline-gateway check: missing required free argument")]
 #[case(&["check", "--kind", "toml", "x"], "found 'toml', expected settings or configuration")]
-#[case(&["store", "--no-such", "x"], "orchard store: unrecognized option `--no-such`")]
+#[case(&["store", "--no-such", "x"], "magpieline-gateway store: unrecognized option `--no-such`")]
 #[case(&["view", "10.1.0.16"], "found '10.1.0.16', expected an address and a port")]
 #[case(&["view", "10.1.0.16:1", "--every", "0s"], "found '0s', expected a time above 0")]
 #[case(&["rollout", "10.1.0.16:1", "s", "v2"], "--within: found nothing, expected the rollout's term")]
-#[case(&["counter", "--log", "a=b=c"], "--log: found 'a=b=c', expected a level")]
+#[case(&["proxy", "--log", "a=b=c"], "--log: found 'a=b=c', expected a level")]
 fn wrong_use_ends_with_2_and_usage(#[case] arguments: &[&str], #[case] says: &str) {
-    let (code, out, err) = orchard(arguments, "");
-    assert!(err.contains(says) && err.contains("\nUsage: orchard"), "{err}");
+    let (code, out, err) = gateway(arguments, "");
+    assert!(err.contains(says) && err.contains("\nUsage: magpieline-gateway"), "{err}");
     assert_eq!((code, &*out), (2, ""));
 }
 
 /// Guards against help that goes to the wrong place or ends as a failure.
 #[test]
 fn help_and_version_are_done() {
-    let (code, out, err) = orchard(&["--help"], "");
+    let (code, out, err) = gateway(&["--help"], "");
     assert_eq!((code, &*err), (0, ""));
-    for command in ["counter", "sorting", "check", "send", "read", "rollout", "view", "store"] {
+    for command in ["proxy", "controller", "check", "send", "read", "rollout", "view", "store"] {
         assert!(out.contains(&format!("\n  {command} ")), "{out}");
-        let (code, out, _) = orchard(&[command, "--help"], "");
-        assert!(code == 0 && out.contains(&format!("Examples:\n  orchard {command} ")), "{out}");
+        let (code, out, _) = gateway(&[command, "--help"], "");
+        assert!(code == 0 && out.contains(&format!("Examples:\n  magpieline-gateway {command} ")), "{out}");
     }
-    assert_eq!(orchard(&["--version"], "").1, format!("orchard {}\n", env!("CARGO_PKG_VERSION")));
+    assert_eq!(gateway(&["--version"], "").1, format!("magpieline-gateway {}\n", env!("CARGO_PKG_VERSION")));
 }
 
 /// Guards against a file that is taken for the other kind, and against sound files that are not shown for what they are.
@@ -100,18 +101,19 @@
 fn check_tells_the_two_kinds_apart_and_sums_them_up() {
     let folder = Folder::new("sound");
     let (settings, configuration) = (folder.file("a", SETTINGS), folder.file("b", CONFIGURATION));
-    let (code, out, err) = orchard(&["check", "--routes", &settings, &configuration], "");
+    let (code, out, err) = gateway(&["check", "--routes", &settings, &configuration], "");
     assert_eq!((code, &*err), (0, ""));
     let lines: Vec<&str> = out.lines().collect();
     assert_eq!(lines[0], format!("{settings}: a machine's settings, sound"));
     assert!(
-        lines.contains(&"  runs        sorting") && lines.contains(&"  posts       control 127.0.0.1:8166")
+        lines.contains(&"  runs        controller")
+            && lines.contains(&"  posts       control 127.0.0.1:8166")
     );
     assert!(lines.contains(&&*format!("{configuration}: a configuration, sound")));
     assert!(lines.contains(&"  routes      1: 1 safe, 0 unsafe, 0 of them split"));
     assert!(out.contains("note: route r-1 of a.example is never met: its prefix is '/x'"), "{out}");
     assert!(out.contains("note: service unused: no route goes to it"), "{out}");
-    let (_, out, _) = orchard(&["check", "--json", "-"], CONFIGURATION);
+    let (_, out, _) = gateway(&["check", "--json", "-"], CONFIGURATION);
     assert!(out.starts_with(r#"{"file":"-","kind":"configuration","sound":true,"#), "{out}");
 }
 
@@ -127,9 +129,9 @@
     let routes: Vec<String> = (0..30).map(route).collect();
     let text = CONFIGURATION.replace("\"regulations\":[", &format!("\"regulations\":[{},", routes.join(",")));
     let (good, bad) = (folder.file("good", CONFIGURATION), folder.file("bad", &text));
-    let (code, out, _) = orchard(&["check", &good, &bad], "");
+    let (code, out, _) = gateway(&["check", &good, &bad], "");
     assert_eq!((code, out.matches(": found 'odd', expected 'safe' or 'unsafe'").count()), (1, 30));
-    let (code, out, err) = orchard(&["check", "--kind", "settings", &good, "/no/such/file"], "");
+    let (code, out, err) = gateway(&["check", "--kind", "settings", &good, "/no/such/file"], "");
     assert!(out.contains("a machine's settings, 1 complaint\n  line 1: found "), "{out}");
     assert_eq!((code, &*err), (1, "/no/such/file: can't be read: No such file or directory (os error 2)\n"));
 }
@@ -186,7 +188,7 @@
         let read = format!("Location: http://{leader}/v1/rpc?call=config.read\r\n");
         let moved = |to: &str| answer("307 Temporary Redirect", to, "{}");
         let (other, _) = stand_in(vec![moved(&to), moved(&read)]);
-        let (ended, out, err) = orchard(&["send", &other.to_string(), &file], "");
+        let (ended, out, err) = gateway(&["send", &other.to_string(), &file], "");
         assert!(format!("{out}{err}").contains(says), "{out}{err}");
         let calls = ["POST /v1/rpc?call=config.replace HTTP/1.1", "POST /v1/rpc?call=config.read HTTP/1.1"];
         assert_eq!((ended, asked.join().expect("answered")), (code, calls.map(str::to_owned).to_vec()));
@@ -201,20 +203,20 @@
     let fault = r#"{"fault":[{"place":"service","found":"a rollout to v3 under way","expected":"none"}]}"#;
     let (at, asked) = stand_in(vec![answer("409 Conflict", "", fault)]);
     let both = format!("{dead},{at}");
-    let (code, out, err) = orchard(&["rollout", &both, "s", "v2", "--within", "12s"], "");
+    let (code, out, err) = gateway(&["rollout", &both, "s", "v2", "--within", "12s"], "");
     assert_eq!((code, &*out), (1, ""));
     assert!(
         err.contains("refused it (409):\n  service: found a rollout to v3 under way, expected none"),
         "{err}"
     );
     assert_eq!(asked.join().expect("answered").len(), 1);
-    let (code, _, err) = orchard(&["read", &dead.to_string(), "--patience", "1ms"], "");
+    let (code, _, err) = gateway(&["read", &dead.to_string(), "--patience", "1ms"], "");
     assert!(
         code == 1 && err.contains("no clear answer") && err.contains(&format!("{dead}: no connection")),
         "{err}"
     );
     let unsound = CONFIGURATION.replace("\"service\":\"s\"", "\"service\":\"z\"");
-    let (code, _, err) = orchard(&["send", &dead.to_string(), "-"], &unsound);
+    let (code, _, err) = gateway(&["send", &dead.to_string(), "-"], &unsound);
     assert!(
         code == 1 && err.contains("-: not sent") && err.contains("expected the name of a fleet"),
         "{err}"
@@ -229,7 +231,7 @@
     let told = |state: &str| answer("200 OK", "", &format!(r#"{{"state":"{state}","to_edition":"v2"}}"#));
     let (at, asked) = stand_in(vec![answer("200 OK", "", "{}"), told(state)]);
     let (ended, out, err) =
-        orchard(&["rollout", &at.to_string(), "s", "v2", "--within", "12s", "--wait"], "");
+        gateway(&["rollout", &at.to_string(), "s", "v2", "--within", "12s", "--wait"], "");
     assert_eq!((ended, format!("{out}{err}")), (code, format!("s to v2: {state}.\n")));
     assert_eq!(asked.join().expect("answered")[1], "POST /v1/rpc?call=editions.read&of=s HTTP/1.1");
 }
--- a/programs/orchard/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -1,7 +1,7 @@
 //! A counter's first contact, with real processes on loopback: what makes it ready, and whose words it takes.
 
-use magpieline_trellis::delta;
-use magpieline_trellis::words::{frame, unframe, Down, Fenced, Hello, Listing, Opening, Piece, Up};
+use magpieline_control_plane::delta;
+use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Hello, Listing, Opening, Piece, Up};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -19,11 +19,12 @@
 
 impl Process {
     fn start(role: &str, name: &str, settings: &str) -> Process {
-        let folder = std::env::temp_dir().join(format!("orchard-contact-{name}-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("magpieline-gateway-contact-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let file = folder.join("settings.toml");
         std::fs::write(&file, settings.replace("STORE", &folder.display().to_string())).expect("written");
-        let mut command = Command::new(env!("CARGO_BIN_EXE_orchard"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_magpieline-gateway"));
         command.args([role, "--log", "warn", "--settings"]).arg(&file);
         let started = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn();
         Process(started.expect("the program starts"), folder)
@@ -147,7 +148,7 @@
 ready = "{net}.9:7001"
 "#
     );
-    let _counter = Process::start("counter", "counter", &settings);
+    let _counter = Process::start("proxy", "counter", &settings);
     let ready = || status(format!("{net}.9:7001").parse().expect("an address"), "GET /v1/ready", "");
     for _ in 0..10 {
         let (mut link, hello) = comes(&inner);
@@ -203,7 +204,7 @@
 control = "{net}.{i}:7080"
 "#
         );
-        Process::start("sorting", &format!("sorting-{i}"), &settings)
+        Process::start("controller", &format!("sorting-{i}"), &settings)
     };
     let mut machines: Vec<Option<Process>> = (1..=3).map(|i| Some(start(i))).collect();
     let control = |i: usize| -> SocketAddr { format!("{net}.{}:7080", i + 1).parse().expect("an address") };
--- a/programs/orchard/tests/golden_frames.rs
+++ b/crates/gateway/tests/golden_frames.rs
@@ -1,12 +1,12 @@
 //! Frames between agents are the same bytes as in the release before. `golden/frames.txt` holds one message a line: its
 //! name, then the bytes of its frame in hexadecimal.
 
-use magpieline_rootstock::{Entry, Envelope, Members, Message, Payload, Seat};
-use magpieline_trellis::records::{Phase, Rollout, Standing};
-use magpieline_trellis::words::{
+use magpieline_control_plane::messages::{
     frame, unframe, Down, Evidence, Fenced, Hello, Listing, Opening, Piece, Report, Spot, Stage, State,
     Totals, Up, Vote,
 };
+use magpieline_control_plane::state_machine::{Phase, Rollout, Standing};
+use magpieline_raft::{Entry, Envelope, Members, Message, Payload, Seat};
 use serde::{Deserialize, Serialize};
 use std::fmt::Debug;
 use std::fmt::Write;
@@ -70,7 +70,7 @@
 }
 
 fn listing() -> Listing {
-    let entry = magpieline_trellis::words::Entry {
+    let entry = magpieline_control_plane::messages::Entry {
         service: "calendar".into(),
         address: address(50),
         zone: "a".into(),
--- a/programs/orchard/tests/kept_store.rs
+++ b/crates/gateway/tests/kept_store.rs
@@ -3,9 +3,9 @@
 //! byte are told by their length (parts: how many times, how many bytes, both in four bytes with the least significant
 //! first, then the bytes).
 
-use magpieline_granary::{inspect, Granary};
-use magpieline_rootstock::{Batch, Entry, Hard, Members, Payload, Seat, Snapshot, Stored};
-use magpieline_trellis::records::{Command, Kept, Phase, Records};
+use magpieline_control_plane::state_machine::{Command, Kept, Phase, Records};
+use magpieline_raft::{Batch, Entry, Hard, Members, Payload, Seat, Snapshot, Stored};
+use magpieline_raft_store::{inspect, Granary};
 use std::path::PathBuf;
 use std::sync::Arc;
 
@@ -17,7 +17,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("orchard-kept-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("magpieline-gateway-kept-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
--- a/programs/orchard/tests/way.rs
+++ b/crates/gateway/tests/leader_redirect.rs
@@ -1,6 +1,6 @@
 //! Where operators' calls are answered, by what a machine knows of who leads.
 
-use magpieline_orchard::sorting::way::{way, Sight, Way, LONG};
+use magpieline_gateway::controller::leader_redirect::{way, Sight, Way, LONG};
 
 const UNTIL: u64 = 10_800_000;
 
--- a/programs/orchard/tests/control.rs
+++ b/crates/gateway/tests/operator_api.rs
@@ -19,8 +19,8 @@
 
 impl Machine {
     fn start(&mut self) {
-        let started = Command::new(env!("CARGO_BIN_EXE_orchard"))
-            .args(["sorting", "--log", "warn", "--settings"])
+        let started = Command::new(env!("CARGO_BIN_EXE_magpieline-gateway"))
+            .args(["controller", "--log", "warn", "--settings"])
             .arg(&self.settings)
             .stdout(Stdio::null())
             .stderr(Stdio::null())
@@ -51,7 +51,7 @@
 /// Three machines with loopback addresses of their own, started.
 fn core(test: u8) -> Core {
     let pid = std::process::id();
-    let folder = std::env::temp_dir().join(format!("orchard-control-{test}-{pid}"));
+    let folder = std::env::temp_dir().join(format!("magpieline-gateway-control-{test}-{pid}"));
     let net = format!("127.{}.{}", 64 + test, pid % 250);
     let seeds: Vec<String> = (1..=3).map(|i| format!("\"{net}.{i}:7080\"")).collect();
     let machines = (1..=3).map(|i| {
--- a/programs/orchard/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -1,14 +1,15 @@
-//! `orchard store` on stores that the test has written.
+//! `magpieline-gateway store` on stores that the test has written.
 
-use magpieline_granary::Granary;
-use magpieline_rootstock::{Batch, Entry, Hard, Members, Payload, Seat, Snapshot};
-use magpieline_trellis::records::{Command, Kept, Phase, Records};
+use magpieline_control_plane::state_machine::{Command, Kept, Phase, Records};
+use magpieline_raft::{Batch, Entry, Hard, Members, Payload, Seat, Snapshot};
+use magpieline_raft_store::Granary;
 use std::path::{Path, PathBuf};
 use std::process::Command as Process;
 use std::sync::Arc;
 
 fn store(arguments: &[&str], dir: &Path) -> (i32, String, String) {
-    let done = Process::new(env!("CARGO_BIN_EXE_orchard")).arg("store").args(arguments).arg(dir).output();
+    let done =
+        Process::new(env!("CARGO_BIN_EXE_magpieline-gateway")).arg("store").args(arguments).arg(dir).output();
     let done = done.expect("the program runs");
     let text = |bytes| String::from_utf8(bytes).expect("text");
     (done.status.code().unwrap_or(-1), text(done.stdout), text(done.stderr))
@@ -19,7 +20,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("orchard-store-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("magpieline-gateway-store-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
--- a/programs/orchard/tests/lives.rs
+++ b/crates/gateway/tests/store_recovery.rs
@@ -1,10 +1,10 @@
 //! What a sorting machine does about a store, or an entry, that it can't read.
 
-use magpieline_granary::{Error, Flaw};
-use magpieline_orchard::sorting::council::{Read, Stop};
-use magpieline_orchard::sorting::lives::Next;
-use magpieline_rootstock::{Action, Envelope, Message, Seat};
-use magpieline_trellis::records::{Command, Records};
+use magpieline_control_plane::state_machine::{Command, Records};
+use magpieline_gateway::controller::raft_driver::{Read, Stop};
+use magpieline_gateway::controller::store_recovery::Next;
+use magpieline_raft::{Action, Envelope, Message, Seat};
+use magpieline_raft_store::{Error, Flaw};
 
 fn send() -> Action {
     let seat = |last| Seat { address: std::net::SocketAddrV4::new([10, 0, 0, last].into(), 7720), life: 0 };
--- a/carrying/furrow/fuzz/checks.rs
+++ b/crates/http1/fuzz/checks.rs
@@ -3,9 +3,9 @@
 
 #![allow(dead_code)] // each target uses one of them
 
-use magpieline_furrow::framing::doorway::{Bounds, Doorway, Requests, Stand, Step};
-use magpieline_furrow::framing::echo::{Echo, Fault};
-use magpieline_furrow::framing::Wrong;
+use magpieline_http1::framing::request_framing::{Bounds, Doorway, Requests, Stand, Step};
+use magpieline_http1::framing::response_framing::{Echo, Fault};
+use magpieline_http1::framing::Wrong;
 
 const BOUNDS: Bounds = Bounds { head_bytes: 600, head: 3_000, idle: 15_000, rest: 15_000 };
 
--- a/carrying/furrow/src/framing/mod.rs
+++ b/crates/http1/src/framing/mod.rs
@@ -10,10 +10,10 @@
 //! All of them hold bytes within stated bounds, do no I/O and have no clock: times are passed in.
 
 pub mod body;
-pub mod doorway;
-pub mod echo;
 pub mod head;
 mod lines;
+pub mod request_framing;
+pub mod response_framing;
 
 pub use lines::Wrong;
 
--- a/carrying/furrow/src/framing/tests.rs
+++ b/crates/http1/src/framing/tests.rs
@@ -1,7 +1,7 @@
 //! Streams cut at any place, streams that two readers would read differently, and streams that are odd but proper.
 
-use super::doorway::{Bounds, Doorway, Requests, Stand, Step};
-use super::echo::{Echo, Fault};
+use super::request_framing::{Bounds, Doorway, Requests, Stand, Step};
+use super::response_framing::{Echo, Fault};
 use super::Wrong;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
--- a/carrying/furrow/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -4,8 +4,8 @@
 //! where the ending of a forward becomes an answer, and the one that says whether a request may be sent again. [`orders`]
 //! remembers those that may run once only, in case their client comes back with one.
 
+pub mod attempt_outcome;
 pub mod framing;
-pub mod journey;
 pub mod orders;
 
 /// A time span or an instant on a steady clock, in microseconds.
--- a/carrying/furrow/tests/orders.rs
+++ b/crates/http1/tests/orders.rs
@@ -1,6 +1,6 @@
 //! Requests that may run once only, and clients that come back with them.
 
-use magpieline_furrow::orders::{Orders, KEPT, MOST};
+use magpieline_http1::orders::{Orders, KEPT, MOST};
 
 /// Guards against an order placed twice by a client that comes back, and against one that never ran and may not come.
 #[test]
--- a/keeping/operator/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -5,7 +5,7 @@
 //! No I/O: texts come in, plain maps of dotted names to values go out.
 //!
 //! ```
-//! use magpieline_operator::{Schema, Setting};
+//! use magpieline_operator_config::{Schema, Setting};
 //!
 //! let file = r#"<magpieline><verdict good-sent-back="0.01" bad-carried="0.05"/></magpieline>"#;
 //! let values = Schema::own().check(file).expect("a good file");
--- a/keeping/operator/src/watch.rs
+++ b/crates/operator-config/src/watch.rs
@@ -8,8 +8,8 @@
 //! under the version before. Each pair is one bet, fair if the change has no part in what is spoilt. Either
 //! comparison has half of the stated rate.
 
-use magpieline_verdict::pair::{Sides, Tally};
-use magpieline_verdict::wealth::{Bets, Wealth};
+use magpieline_sequential_test::pair::{Sides, Tally};
+use magpieline_sequential_test::wealth::{Bets, Wealth};
 
 /// What operators state of watches; times in seconds.
 #[derive(Clone, Debug, PartialEq)]
--- a/keeping/granary/src/lib.rs
+++ b/crates/raft-store/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! Files by concern: here what is written and read, `shelf` the folder's names and when they last.
 
-use magpieline_rootstock::{Batch, Entry, Hard, Members, Snapshot, Stored};
+use magpieline_raft::{Batch, Entry, Hard, Members, Snapshot, Stored};
 use redb::{Builder, Database, Durability, ReadableTable, TableDefinition, TableError};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -20,9 +20,9 @@
 use std::path::Path;
 use std::sync::Arc;
 
-mod shelf;
+mod directory;
 
-pub use shelf::{is_aside, set_aside, Folder, Shelf, ASIDE, FILE};
+pub use directory::{is_aside, set_aside, Folder, Shelf, ASIDE, FILE};
 
 /// For pages: the store is read once, at the start, and written little by little.
 const CACHE: usize = 2 << 20;
@@ -169,7 +169,7 @@
         if shelf.has(FILE)? {
             shelf.sync()?;
         } else {
-            shelf::create(&shelf)?;
+            directory::create(&shelf)?;
         }
         Granary::open_with(Box::new(move || opened(|| shelf.open(FILE))))
     }
--- a/keeping/granary/tests/folder.rs
+++ b/crates/raft-store/tests/directory.rs
@@ -1,7 +1,7 @@
 //! The store in a real folder.
 
-use magpieline_granary::{inspect, is_aside, set_aside, Error, Folder, Granary, ASIDE};
-use magpieline_rootstock::{Batch, Hard, Stored};
+use magpieline_raft::{Batch, Hard, Stored};
+use magpieline_raft_store::{inspect, is_aside, set_aside, Error, Folder, Granary, ASIDE};
 use redb::{Database, TableDefinition};
 use std::fs;
 use std::path::PathBuf;
--- a/keeping/granary/tests/names.rs
+++ b/crates/raft-store/tests/names.rs
@@ -1,8 +1,8 @@
 //! The store's folder: each name that is made, changed or removed without a sync of the folder is kept or lost by itself
 //! when power goes.
 
-use magpieline_granary::{builder, set_aside, Error, Flaw, Granary, Remedy, Shelf, ASIDE, FILE};
-use magpieline_rootstock::{Batch, Hard, Stored};
+use magpieline_raft::{Batch, Hard, Stored};
+use magpieline_raft_store::{builder, set_aside, Error, Flaw, Granary, Remedy, Shelf, ASIDE, FILE};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use redb::{Database, DatabaseError, StorageBackend};
--- a/keeping/granary/tests/power.rs
+++ b/crates/raft-store/tests/power.rs
@@ -1,7 +1,7 @@
 //! The store on a simulated disk that loses power, fills up, and forgets what was not synced.
 
-use magpieline_granary::{builder, Error, Granary, Opener};
-use magpieline_rootstock::{Batch, Entry, Hard, Members, Payload, Seat, Snapshot, Stored};
+use magpieline_raft::{Batch, Entry, Hard, Members, Payload, Seat, Snapshot, Stored};
+use magpieline_raft_store::{builder, Error, Granary, Opener};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use redb::StorageBackend;
--- a/keeping/rootstock/src/asking.rs
+++ b/crates/raft/src/join.rs
@@ -1,7 +1,7 @@
 //! How a machine that hears no leader finds it: one that joins, one whose address book is old, one that was taken out
 //! while it was away.
 
-use crate::members::{MAX_LEARNERS, MAX_VOTERS};
+use crate::membership::{MAX_LEARNERS, MAX_VOTERS};
 use crate::replication::{Mode, Peer};
 use crate::{Core, Index, Message, Micros, Seat};
 use std::collections::BTreeSet;
--- a/keeping/rootstock/src/leaving.rs
+++ b/crates/raft/src/leadership_transfer.rs
@@ -6,7 +6,7 @@
 //! a machine that comes back waits in its place.
 
 use crate::election::QUORUM_PATIENCE;
-use crate::members::MAX_LEARNERS;
+use crate::membership::MAX_LEARNERS;
 use crate::replication::Peer;
 use crate::{Core, Message, Micros, Seat};
 use rand::Rng;
--- a/keeping/rootstock/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -6,7 +6,7 @@
 //! [`Action`]s, to be carried out in their order. The same seed and events give the same actions.
 //!
 //! ```
-//! use magpieline_rootstock::{Action, Core, Event, Outcome, Start, Stored};
+//! use magpieline_raft::{Action, Core, Event, Outcome, Start, Stored};
 //!
 //! let me = "10.1.0.16:7720".parse().unwrap();
 //! // `seed` must come from the system's source of randomness: a machine that joins draws its life from it.
@@ -49,25 +49,25 @@
 //! `leaving` (stopping in order), `replication` (to and from the leader, entries), `fill` (snapshots in pieces), `asking` (finding the leader), `reads`
 //! (proposals, reads, freshness), `disk` (what is written when, and what waits for it).
 
-mod asking;
-mod disk;
 mod election;
-mod fill;
-mod leaving;
+mod join;
+mod leadership_transfer;
 mod log;
-mod members;
+mod membership;
 mod message;
-mod reads;
+mod persistence;
+mod read_index;
 mod replication;
+mod snapshot_transfer;
 
-pub use disk::{Batch, Hard, Stored};
 pub use log::{Entry, Payload, Snapshot};
-pub use members::{Contact, Members, MAX_VOTERS};
+pub use membership::{Contact, Members, MAX_VOTERS};
 pub use message::{Envelope, Message};
+pub use persistence::{Batch, Hard, Stored};
 
-use crate::disk::Disk;
 use crate::log::Log;
-use crate::members::Roll;
+use crate::membership::Roll;
+use crate::persistence::Disk;
 use crate::replication::{Following, Lead};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -228,8 +228,8 @@
     disk: Disk,
     following: Following,
     lead: Option<Lead>,
-    asking: asking::Asking,
-    leaving: Option<leaving::Leaving>,
+    asking: join::Asking,
+    leaving: Option<leadership_transfer::Leaving>,
     withstand: usize,
     catch_up: Micros,
     out: Vec<Action>,
@@ -271,7 +271,7 @@
             log,
             following: Following::default(),
             lead: None,
-            asking: asking::Asking::default(),
+            asking: join::Asking::default(),
             leaving: None,
             withstand: start.withstand,
             catch_up: start.catch_up,
--- a/keeping/rootstock/src/members.rs
+++ b/crates/raft/src/membership.rs
@@ -35,7 +35,7 @@
 /// A voter that has not answered for so long may be gone, a learner is not to be relied on: ten beats.
 const QUIET: Micros = 1_000_000;
 /// A voter silent for a quarter of `catch_up` is out: the rest is for finding a leader, should that have been lost with
-/// it (1.2 s at most in the nursery), for filling a successor, and for the change.
+/// it (1.2 s at most in the raft-simulation), for filling a successor, and for the change.
 const OUT_PART: Micros = 4;
 /// But not sooner than a leader is given up for being unheard, and not later than the longest cuts last.
 const OUT_LEAST: Micros = 500_000;
--- a/keeping/rootstock/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -1,8 +1,8 @@
 //! Entries on their way from the leader to the others.
 
-use crate::fill::{Filling, Incoming};
-use crate::leaving::Leavers;
-use crate::reads::Questions;
+use crate::leadership_transfer::Leavers;
+use crate::read_index::Questions;
+use crate::snapshot_transfer::{Filling, Incoming};
 use crate::{Core, Entry, Index, Message, Micros, Payload, Seat, Term, PIECE};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/keeping/rootstock/tests/compaction.rs
+++ b/crates/raft/tests/compaction.rs
@@ -1,6 +1,6 @@
 //! When the log is compacted, and what a member that is behind gets then.
 
-use magpieline_rootstock::{Action, Core, Event, Start, Stored};
+use magpieline_raft::{Action, Core, Event, Start, Stored};
 
 /// A core that votes alone, on a disk that takes every write at once, and its state: the commands' bytes.
 struct Alone {
--- a/keeping/rootstock/tests/three.rs
+++ b/crates/raft/tests/three.rs
@@ -1,6 +1,6 @@
-//! Three machines on a perfect network whose disks sync at once. Faults are played in the nursery.
+//! Three machines on a perfect network whose disks sync at once. Faults are played in the raft-simulation.
 
-use magpieline_rootstock::{
+use magpieline_raft::{
     Action, Core, Entry, Envelope, Event, Message, Micros, Outcome, Payload, Role, Seat, Start, Stored,
 };
 use std::collections::VecDeque;
--- a/fronts/front-resp/src/faults.rs
+++ b/crates/resp-listener/src/faults.rs
@@ -234,7 +234,7 @@
     hold(20_000);
 }
 
-/// By hand: `cargo test --release -p magpieline-front-resp a_million -- --ignored --nocapture`, a minute or so.
+/// By hand: `cargo test --release -p magpieline-resp-listener a_million -- --ignored --nocapture`, a minute or so.
 #[test]
 #[ignore = "takes a minute"]
 fn a_million_commands_with_faults() {
--- a/fronts/front-resp/src/front.rs
+++ b/crates/resp-listener/src/front.rs
@@ -7,7 +7,7 @@
 use futures_util::stream::FuturesOrdered;
 use futures_util::{FutureExt, StreamExt};
 use magpieline::interface::Arrival;
-use magpieline_exchange::{accept, guarded, Answer, Crowd, Exchange, Load, Signal, Visit};
+use magpieline_dispatch::{accept, guarded, Answer, Crowd, Exchange, Load, Signal, Visit};
 use magpieline_resp::{Bounds, Reader, Value, Version};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -400,7 +400,7 @@
 mod tests {
     use super::*;
     use crate::testing::*;
-    use magpieline_operator::Setting;
+    use magpieline_operator_config::Setting;
     use std::net::SocketAddr;
 
     /// Sends text, and what comes back until the other side ends or nothing more comes for a while.
@@ -694,7 +694,7 @@
         run(async {
             let (exchange, _) = front(&[], None).await;
             let row = |group: &str, mark: f64| {
-                let mut values = magpieline_operator::Values::new();
+                let mut values = magpieline_operator_config::Values::new();
                 values.insert("resp.command.0.name".into(), Setting::Text("GET".into()));
                 values.insert("resp.command.0.group".into(), Setting::Text(group.into()));
                 values.insert("resp.command.0.mark".into(), Setting::Number(mark));
--- a/fronts/front-resp/src/table.rs
+++ b/crates/resp-listener/src/table.rs
@@ -2,8 +2,8 @@
 //! waits. Operators say so; a command without a row is none.
 
 use bytes::Bytes;
-use magpieline_exchange::Exchange;
-use magpieline_operator::{number, text, Values};
+use magpieline_dispatch::Exchange;
+use magpieline_operator_config::{number, text, Values};
 use std::collections::HashMap;
 
 /// One command. Arguments are counted from 1, the command's own name being 0; 0 stands for none.
--- a/fronts/front-resp/src/testing.rs
+++ b/crates/resp-listener/src/testing.rs
@@ -6,8 +6,8 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::FutureExt;
 use magpieline::interface::Listed;
-use magpieline_exchange::{Chosen, Crowd, Entry, Exchange, Load, Ways};
-use magpieline_operator::Setting;
+use magpieline_dispatch::{Chosen, Crowd, Entry, Exchange, Load, Ways};
+use magpieline_operator_config::Setting;
 use magpieline_resp::{Bounds, Reader, Value, Version};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -178,7 +178,7 @@
         ("BOOK", "book", 1, 2, 0),
         ("WAITS", "read", 1, 0, 2),
     ];
-    let mut values = magpieline_operator::Values::new();
+    let mut values = magpieline_operator_config::Values::new();
     for (i, (name, group, key, mark, at)) in rows.into_iter().enumerate() {
         let mut put = |what: &str, setting| values.insert(format!("resp.command.{i}.{what}"), setting);
         put("name", Setting::Text(name.into()));
--- a/fronts/front-resp/src/way.rs
+++ b/crates/resp-listener/src/way.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::future::LocalBoxFuture;
-use magpieline_exchange::{End, Load, Way};
+use magpieline_dispatch::{End, Load, Way};
 use magpieline_resp::{Bounds, Reader, Unreadable, Value, Version};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/deciding/scion/src/jury.rs
+++ b/crates/rollout/src/analysis.rs
@@ -7,9 +7,9 @@
 
 use crate::Micros;
 use magpieline::{Duel, Evidence, EARLIER, TRIAL};
-use magpieline_trellis::records::Phase;
-use magpieline_trellis::roster::Pooled;
-use magpieline_trellis::words::{Stage, Totals};
+use magpieline_control_plane::messages::{Stage, Totals};
+use magpieline_control_plane::proxy_registry::Pooled;
+use magpieline_control_plane::state_machine::Phase;
 use std::collections::BTreeMap;
 
 /// Evidence that convinces: a log likelihood ratio, as in the agent; by chance once in e^6 trials.
--- a/deciding/scion/src/trial.rs
+++ b/crates/rollout/src/trial.rs
@@ -1,7 +1,7 @@
 //! One counter's part in a rollout.
 
 use magpieline::{Duel, EARLIER, TRIAL};
-use magpieline_trellis::words::{Evidence, Spot, Stage, Totals, Vote};
+use magpieline_control_plane::messages::{Evidence, Spot, Stage, Totals, Vote};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/deciding/scion/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -2,12 +2,12 @@
 //! and a new build. Checked over seeds: a bad build is returned and its exposure stays within the rules, a good one is
 //! delivered in its term.
 
-use magpieline_scion::jury::{Jury, Look, Step};
-use magpieline_scion::trial::{End, Seen, Trial};
-use magpieline_scion::Micros;
-use magpieline_trellis::records::Phase;
-use magpieline_trellis::roster::Roster;
-use magpieline_trellis::words::{Evidence, Hello, Report};
+use magpieline_control_plane::messages::{Evidence, Hello, Report};
+use magpieline_control_plane::proxy_registry::Roster;
+use magpieline_control_plane::state_machine::Phase;
+use magpieline_rollout::analysis::{Jury, Look, Step};
+use magpieline_rollout::trial::{End, Seen, Trial};
+use magpieline_rollout::Micros;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
--- a/deciding/verdict/src/lib.rs
+++ b/crates/sequential-test/src/lib.rs
@@ -6,7 +6,7 @@
 //! be wrong. `docs/verdict/design.md` weighs the methods and proves the bounds.
 //!
 //! ```
-//! use magpieline_verdict::{Case, End, Opinion, Outcome, Terms, Voters, EARLIER, TRIAL};
+//! use magpieline_sequential_test::{Case, End, Opinion, Outcome, Terms, Voters, EARLIER, TRIAL};
 //!
 //! let terms = Terms::read(|name| (name == "good_sent_back").then_some(0.01), |_| "")?.expect("a rate is stated");
 //! let mut case = Case::new(terms, Voters { all: 1.0, back: 1.0, on: 1.0 }, 1, 7, 1.0);
--- a/programs/agent/src/explain.rs
+++ b/crates/sidecar/src/explain.rs
@@ -1,8 +1,8 @@
 //! What operators ask for, in words: why a release was voted on as it was, what a file sets.
 
-use magpieline_exchange::Looked;
-use magpieline_operator::{Setting, Values};
-use magpieline_verdict::{Entry, Opinion, Vote};
+use magpieline_dispatch::Looked;
+use magpieline_operator_config::{Setting, Values};
+use magpieline_sequential_test::{Entry, Opinion, Vote};
 use std::fmt::Write;
 
 /// What a file sets: a line each, or one object.
@@ -145,7 +145,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use magpieline_verdict::Look;
+    use magpieline_sequential_test::Look;
 
     fn entry(vote: Vote, what: &str, log: f64, needed: f64) -> Entry {
         let (earlier, trial) = ((90.0, 1.0), (40.0, 9.0));
--- a/programs/agent/src/hands.rs
+++ b/crates/sidecar/src/hands.rs
@@ -161,7 +161,10 @@
 }
 
 /// What a file would change, a line for each name; nothing where it is the same.
-pub fn difference(before: &magpieline_operator::Values, after: &magpieline_operator::Values) -> String {
+pub fn difference(
+    before: &magpieline_operator_config::Values,
+    after: &magpieline_operator_config::Values,
+) -> String {
     let (old, new) = (crate::explain::values(before, false), crate::explain::values(after, false));
     let plain = |text: &str| -> Vec<String> {
         text.lines().map(|l| l.split_whitespace().collect::<Vec<_>>().join(" ")).collect()
--- a/programs/agent/src/life/control.rs
+++ b/crates/sidecar/src/life/control.rs
@@ -3,10 +3,10 @@
 
 use crate::life::keeper::Keeper;
 use crate::life::{log_form, start};
-use magpieline_exchange::{unix, Changes, Exchange};
-use magpieline_operator::versions::{hash, Refusal, Standing, Step, Version, Versions};
-use magpieline_operator::watch::Next;
-use magpieline_operator::{text, Schema, Setting, Values};
+use magpieline_dispatch::{unix, Changes, Exchange};
+use magpieline_operator_config::versions::{hash, Refusal, Standing, Step, Version, Versions};
+use magpieline_operator_config::watch::Next;
+use magpieline_operator_config::{text, Schema, Setting, Values};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value as Json};
 use std::cell::Cell;
@@ -488,7 +488,7 @@
     use crate::testing::*;
     use crate::wire::nodes::Head;
     use magpieline::interface::Arrival;
-    use magpieline_exchange::{hash, Answer, Crowd, Load, Ticket};
+    use magpieline_dispatch::{hash, Answer, Crowd, Load, Ticket};
     use std::cell::RefCell;
     use std::collections::HashMap;
 
@@ -817,7 +817,7 @@
         });
     }
 
-    /// A measurement, not a check of CI: `cargo test --release -p magpieline-agent changes_in_a_row -- --ignored
+    /// A measurement, not a check of CI: `cargo test --release -p magpieline-sidecar changes_in_a_row -- --ignored
     /// --nocapture`. MAGPIELINE_CHANGES says how many, a tenth of them bad; hits come at 500 a second. On every third
     /// harmless change all nodes are slow for a while just after it, old and new version alike.
     #[test]
--- a/programs/agent/src/life/extproc.rs
+++ b/crates/sidecar/src/life/extproc.rs
@@ -6,10 +6,10 @@
 use crate::wire::headers;
 use futures_util::future::LocalBoxFuture;
 use futures_util::FutureExt;
-use magpieline_exchange::{unix, Exchange};
-use magpieline_front_extproc::{Front, Shelf, Table};
-use magpieline_ledger::Record;
-use magpieline_operator::{text, Values};
+use magpieline_attempt_log::Record;
+use magpieline_dispatch::{unix, Exchange};
+use magpieline_ext_proc::{Front, Shelf, Table};
+use magpieline_operator_config::{text, Values};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -134,8 +134,8 @@
 mod tests {
     use super::*;
     use crate::testing::*;
-    use magpieline_ledger::{Ask, Kind, Ran, Refusal};
-    use magpieline_operator::Schema;
+    use magpieline_attempt_log::{Ask, Kind, Ran, Refusal};
+    use magpieline_operator_config::Schema;
 
     fn values(journal: &Path) -> Values {
         let file = format!(
--- a/programs/agent/src/life/keeper.rs
+++ b/crates/sidecar/src/life/keeper.rs
@@ -1,7 +1,7 @@
 //! A journal on a real disk: of changes of the operators' file, of levels, of what callers were told. A thread of
 //! its own writes and syncs, so that a slow disk holds up no hit; a step that it does not take in time is refused.
 
-use magpieline_operator::journal::{Damage, Disk, Journal, Opened};
+use magpieline_operator_config::journal::{Damage, Disk, Journal, Opened};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -155,7 +155,7 @@
 mod tests {
     use super::*;
     use crate::testing::{folder, run};
-    use magpieline_operator::versions::Step;
+    use magpieline_operator_config::versions::Step;
 
     fn step(number: u64) -> Step {
         Step::Kept { number, at: 1.0, why: "a test".into() }
--- a/programs/agent/src/life/levels.rs
+++ b/crates/sidecar/src/life/levels.rs
@@ -1,9 +1,9 @@
 //! Levels of reduced service in the agent: what it reads off itself, and the journal from which a restart goes on.
 
 use crate::life::keeper::Keeper;
-use magpieline_exchange::{unix, Exchange};
-use magpieline_levels::{Change, Reading};
-use magpieline_operator::{text, Values};
+use magpieline_degradation::{Change, Reading};
+use magpieline_dispatch::{unix, Exchange};
+use magpieline_operator_config::{text, Values};
 use serde::{Deserialize, Serialize};
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -67,7 +67,7 @@
         actix_rt::spawn(keep(exchange.clone(), keeper, changes));
     }
     let own = exchange.clone();
-    actix_rt::spawn(async move { magpieline_exchange::kept("levels", || own.clone().tend_levels()).await });
+    actix_rt::spawn(async move { magpieline_dispatch::kept("levels", || own.clone().tend_levels()).await });
     Ok(())
 }
 
@@ -150,8 +150,8 @@
     use crate::testing::*;
     use crate::wire::clients;
     use crate::wire::nodes::ways;
-    use magpieline_exchange::{Chosen, Crowd};
-    use magpieline_operator::Schema;
+    use magpieline_dispatch::{Chosen, Crowd};
+    use magpieline_operator_config::Schema;
     use std::cell::Cell;
     use std::time::Instant;
     use tokio::net::{TcpListener, TcpStream};
--- a/programs/agent/src/life/log_form.rs
+++ b/crates/sidecar/src/life/log_form.rs
@@ -2,7 +2,7 @@
 //! key-values.
 
 use log::kv::{Key, Value, VisitSource};
-use magpieline_operator::{text, Values};
+use magpieline_operator_config::{text, Values};
 use std::io::Write;
 use std::sync::atomic::{AtomicBool, Ordering};
 
--- a/programs/agent/src/life/mod.rs
+++ b/crates/sidecar/src/life/mod.rs
@@ -12,7 +12,7 @@
 mod stop;
 
 use crate::wire::{clients, list, platform};
-use magpieline_exchange::{kept, Crowd};
+use magpieline_dispatch::{kept, Crowd};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -64,12 +64,12 @@
         if let Some((at, front)) = resp::front(&start.values, &exchange, &crowd)? {
             let listener = bind(at)?;
             log::info!("{}: listening on {at} for RESP", start.name);
-            actix_rt::spawn(magpieline_front_resp::serve(front, listener));
+            actix_rt::spawn(magpieline_resp_listener::serve(front, listener));
         }
         if let Some((at, front)) = extproc::front(&start.values, &exchange)? {
             let listener = bind(at)?;
             log::info!("{}: listening on {at} for callers by gRPC", start.name);
-            actix_rt::spawn(magpieline_front_extproc::serve(front, listener));
+            actix_rt::spawn(magpieline_ext_proc::serve(front, listener));
         }
         let (own, desk) = (exchange.clone(), Rc::new(platform::Clerk(around.clone())));
         actix_rt::spawn(async move { kept("review", || own.clone().review(desk.clone())).await });
--- a/programs/agent/src/life/record.rs
+++ b/crates/sidecar/src/life/record.rs
@@ -1,7 +1,7 @@
 //! The record of looks at releases: a file of JSON lines, written by a thread of its own
 //! so that a slow disk holds up no hit.
 
-use magpieline_exchange::{Looked, Looks};
+use magpieline_dispatch::{Looked, Looks};
 use std::io::Write;
 use std::path::PathBuf;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
--- a/programs/agent/src/life/reload.rs
+++ b/crates/sidecar/src/life/reload.rs
@@ -5,7 +5,7 @@
 use crate::life::control::Hands;
 use crate::life::{listen, start};
 use crate::wire::place::Around;
-use magpieline_exchange::Exchange;
+use magpieline_dispatch::Exchange;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
@@ -66,7 +66,7 @@
     use crate::wire::nodes::Head;
     use crate::wire::{list, platform};
     use magpieline::interface::Arrival;
-    use magpieline_exchange::{Answer, Load};
+    use magpieline_dispatch::{Answer, Load};
 
     /// Discovery, or a platform, that answers its first call and then keeps silent; which turn was asked.
     async fn silent(answer: String) -> (String, Rc<std::cell::Cell<usize>>) {
--- a/programs/agent/src/life/resp.rs
+++ b/crates/sidecar/src/life/resp.rs
@@ -1,9 +1,9 @@
 //! What the operators' file says of RESP: whether clients are listened for, which commands are hits, who logs in how.
 
 use crate::life::start::listens;
-use magpieline_exchange::{Crowd, Exchange};
-use magpieline_front_resp::{Front, Login, Table};
-use magpieline_operator::{number, text, Values};
+use magpieline_dispatch::{Crowd, Exchange};
+use magpieline_operator_config::{number, text, Values};
+use magpieline_resp_listener::{Front, Login, Table};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -44,7 +44,7 @@
     use super::*;
     use crate::testing::*;
     use crate::wire::clients;
-    use magpieline_operator::Schema;
+    use magpieline_operator_config::Schema;
     use tokio::io::AsyncReadExt;
     use tokio::net::{TcpListener, TcpStream};
 
@@ -72,7 +72,7 @@
             })
             .await;
             let exchange = exchange();
-            exchange.listed(true, true, vec![entry(http, 0), entry(resp, magpieline_front_resp::SPEAKS)]);
+            exchange.listed(true, true, vec![entry(http, 0), entry(resp, magpieline_resp_listener::SPEAKS)]);
             let crowd = Rc::new(Crowd::new(256));
             let values = Schema::own().check(FILE).expect("a good file");
             let (_, front) =
@@ -81,7 +81,7 @@
             let (a, b) = (bound().await, bound().await);
             let (at_http, at_resp) = (a.local_addr().expect("one"), b.local_addr().expect("one"));
             actix_rt::spawn(clients::serve(exchange.clone(), Rc::new(a), crowd.clone()));
-            actix_rt::spawn(magpieline_front_resp::serve(front, b));
+            actix_rt::spawn(magpieline_resp_listener::serve(front, b));
             let mut all = Vec::new();
             for i in 0..60 {
                 all.push(actix_rt::spawn(async move {
--- a/programs/agent/src/life/start.rs
+++ b/crates/sidecar/src/life/start.rs
@@ -7,9 +7,9 @@
 use crate::wire::{list, nodes, platform};
 use magpieline::interface::Value;
 use magpieline::names::{self, Message};
-use magpieline_exchange::{Chosen, Exchange, Looks};
-use magpieline_operator::{number, text, Schema, Setting, Values};
-use magpieline_verdict::Terms;
+use magpieline_dispatch::{Chosen, Exchange, Looks};
+use magpieline_operator_config::{number, text, Schema, Setting, Values};
+use magpieline_sequential_test::Terms;
 use serde_json::Value as Json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -216,7 +216,7 @@
         let values = Schema::own().check("<magpieline><verdict/></magpieline>").expect("a file");
         let chosen = chosen(&values);
         let terms = terms(&chosen).expect("terms").expect("stated");
-        assert_eq!(terms, magpieline_verdict::Terms::default());
+        assert_eq!(terms, magpieline_sequential_test::Terms::default());
         assert!(
             Schema::own().check("<magpieline/>").expect("a file").is_empty(),
             "nothing without its element"
--- a/programs/agent/src/life/stop.rs
+++ b/crates/sidecar/src/life/stop.rs
@@ -1,7 +1,7 @@
 //! The end: what has been taken and what still arrives is served, then the program ends by itself.
 
 use crate::life::listen;
-use magpieline_exchange::{Crowd, Exchange};
+use magpieline_dispatch::{Crowd, Exchange};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::signal::unix::{Signal, SignalKind};
--- a/programs/agent/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -348,14 +348,15 @@
             print!("{}", explain::values(&life::start::operators(&file)?, json));
         }
         ConfigCommand::Explain(ConfigExplain { name }) => {
-            let text = magpieline_operator::Schema::own().explain(&name);
+            let text = magpieline_operator_config::Schema::own().explain(&name);
             println!("{}", text.ok_or_else(|| format!("{name}: expected a name of the operators' file"))?);
         }
         ConfigCommand::Diff(ConfigDiff { file, socket }) => {
             let (after, mut talk) = (life::start::operators(&file)?, talk(socket)?);
             let running = talk.call(&Call::Status)?["running"]["number"].as_u64().unwrap_or_default();
             let text = talk.call(&Call::Text { number: running })?;
-            let before = magpieline_operator::Schema::own().check(text["text"].as_str().unwrap_or_default());
+            let before =
+                magpieline_operator_config::Schema::own().check(text["text"].as_str().unwrap_or_default());
             print!("{}", hands::difference(&before.unwrap_or_default(), &after));
         }
         ConfigCommand::Stage(ConfigStage { file, why, socket, json }) => {
--- a/programs/agent/src/testing.rs
+++ b/crates/sidecar/src/testing.rs
@@ -3,7 +3,7 @@
 use crate::wire::nodes;
 use crate::wire::place::Around;
 use magpieline::interface::Listed;
-use magpieline_exchange::{Chosen, Entry, Exchange};
+use magpieline_dispatch::{Chosen, Entry, Exchange};
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/programs/agent/src/wire/clients.rs
+++ b/crates/sidecar/src/wire/clients.rs
@@ -8,7 +8,7 @@
 use actix_http::header::{HeaderMap, HeaderValue, CONTENT_TYPE, RETRY_AFTER};
 use actix_http::{HttpService, KeepAlive, Request, Response, StatusCode};
 use actix_service::{fn_service, Service, ServiceFactory};
-use magpieline_exchange::{accept, guarded, hash, Answer, Crowd, Exchange, Load, Signal, Visit};
+use magpieline_dispatch::{accept, guarded, hash, Answer, Crowd, Exchange, Load, Signal, Visit};
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/programs/agent/src/wire/door.rs
+++ b/crates/sidecar/src/wire/door.rs
@@ -6,7 +6,7 @@
 use actix_http::header::{HeaderMap, CONTENT_LENGTH};
 use actix_http::{Method, RequestHead, Response, StatusCode};
 use magpieline::interface::Arrival;
-use magpieline_exchange::Exchange;
+use magpieline_dispatch::Exchange;
 
 /// The longest id or key; those in use are a few dozen bytes.
 const WORD_MOST: usize = 256;
--- a/programs/agent/src/wire/line.rs
+++ b/crates/sidecar/src/wire/line.rs
@@ -6,7 +6,7 @@
 use awc::Client;
 use bytes::{Buf, BytesMut};
 use http::Uri;
-use magpieline_exchange::Signal;
+use magpieline_dispatch::Signal;
 use std::cell::Cell;
 use std::future::Future;
 use std::io;
--- a/programs/agent/src/wire/list.rs
+++ b/crates/sidecar/src/wire/list.rs
@@ -5,7 +5,7 @@
 use awc::Client;
 use magpieline::interface::Listed;
 use magpieline::names::Message;
-use magpieline_exchange::{Entry, Exchange};
+use magpieline_dispatch::{Entry, Exchange};
 use serde_json::Value as Json;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -56,7 +56,7 @@
         up_since: entry.number_or("boot_ms", 0.0)? / 1e3,
         speaks: match entry.text_or_none("speaks")? {
             None | Some("http") => 0,
-            Some("resp") => magpieline_front_resp::SPEAKS,
+            Some("resp") => magpieline_resp_listener::SPEAKS,
             Some(_) => return wrong("speaks", "http or resp"),
         },
     };
@@ -121,7 +121,7 @@
     use super::*;
     use crate::testing::*;
     use crate::wire::nodes::Head;
-    use magpieline_exchange::{End, Load};
+    use magpieline_dispatch::{End, Load};
     use std::cell::RefCell;
 
     fn list(all: bool, targets: &[(&str, &str, &str)]) -> Json {
--- a/programs/agent/src/wire/nodes.rs
+++ b/crates/sidecar/src/wire/nodes.rs
@@ -11,8 +11,8 @@
 use futures_util::future::LocalBoxFuture;
 use http::uri::{Authority, PathAndQuery, Scheme};
 use http::{Method, Uri};
-use magpieline_exchange::{End, Load, Way, Ways};
-use magpieline_front_resp::{Login, Pipes};
+use magpieline_dispatch::{End, Load, Way, Ways};
+use magpieline_resp_listener::{Login, Pipes};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -37,8 +37,8 @@
 pub fn ways(times: Rc<Cell<Times>>, login: Option<Login>, seed: u64) -> Ways {
     Box::new(move |address, speaks| {
         let Times { connect, idle } = times.get();
-        if speaks == magpieline_front_resp::SPEAKS {
-            let spread = seed ^ magpieline_exchange::hash(address.to_string().as_bytes());
+        if speaks == magpieline_resp_listener::SPEAKS {
+            let spread = seed ^ magpieline_dispatch::hash(address.to_string().as_bytes());
             return Ok(Rc::new(Pipes::new(address, connect, idle, login.clone(), spread)));
         }
         Ok(Rc::new(Reach::new(address, connect, idle)?))
@@ -49,7 +49,7 @@
     fn forward(&self, load: Rc<Load>, limit: Duration) -> LocalBoxFuture<'static, End> {
         let own = self.clone();
         Box::pin(async move {
-            match (load.head.downcast_ref::<Head>(), magpieline_front_extproc::call(&load)) {
+            match (load.head.downcast_ref::<Head>(), magpieline_ext_proc::call(&load)) {
                 (Some(head), _) => own.forward(head, &load.body, limit).await,
                 // The forward is another proxy's.
                 (None, Some(call)) => call.forward(own.address, limit).await,
--- a/programs/agent/src/wire/place.rs
+++ b/crates/sidecar/src/wire/place.rs
@@ -47,7 +47,7 @@
 fn read(settings: &serde_json::Value) -> (Times, Duration) {
     let mut named = Named::new();
     magpieline::names::settings(settings, "", &mut named);
-    let seconds = |name, otherwise| magpieline_exchange::seconds(&named, name, otherwise);
+    let seconds = |name, otherwise| magpieline_dispatch::seconds(&named, name, otherwise);
     // Where the settings say nothing: what TCP users commonly allow.
     let connect = seconds("limits.connect_timeout_s", 1.0);
     let idle = seconds("limits.conn_idle_s", 10.0).mul_f64(IDLE_PART);
--- a/programs/agent/src/wire/platform.rs
+++ b/crates/sidecar/src/wire/platform.rs
@@ -5,7 +5,7 @@
 use futures_util::future::LocalBoxFuture;
 use futures_util::StreamExt;
 use magpieline::interface::{News, Phase, Receipt, Tally, Verdict, Vote};
-use magpieline_exchange::{Desk, Exchange};
+use magpieline_dispatch::{Desk, Exchange};
 use quick_xml::events::Event;
 use std::collections::BTreeMap;
 use std::convert::Infallible;
--- a/examples/gateway/run.sh
+++ b/examples/gateway/run.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# A gateway on loopback and what it does: three sorting machines, three counters, the platform and appliances that
+# A gateway on loopback and what it does: three controllers, three proxies, the platform and appliances that
 # stand in for real ones. Needs Linux, cargo and the ports of 127.0.0.1, .11 to .13 and .21 to .23 that the settings
 # files name. Takes about two minutes after the build. All that it makes is under target/.
 #
@@ -8,7 +8,7 @@
 set -eu
 cd "$(dirname "$0")/../.."
 
-orchard=target/release/orchard
+magpieline=target/release/magpieline-gateway
 gateway=target/release/examples/gateway
 work=target/gateway
 control=127.0.0.11:7080,127.0.0.12:7080,127.0.0.13:7080
@@ -29,7 +29,7 @@
 
 # Starts an agent; its log goes to a file of its name.
 agent() { # name role
-    "$orchard" "$2" --settings "$work/$1.toml" 2>>"$work/$1.log" &
+    "$magpieline" "$2" --settings "$work/$1.toml" 2>>"$work/$1.log" &
     eval "pid_$(echo "$1" | tr - _)=$!"
     pids="$pids $!"
 }
@@ -59,7 +59,7 @@
 
 leader() { # the inner address of the machine that leads
     for address in 127.0.0.11:7720 127.0.0.12:7720 127.0.0.13:7720; do
-        if "$orchard" view "$address" 2>/dev/null | grep -Eq '^leads +true'; then
+        if "$magpieline" view "$address" 2>/dev/null | grep -Eq '^leads +true'; then
             echo "$address"
             return
         fi
@@ -68,8 +68,8 @@
 
 # Rolls the calendar service out; stops the old version's appliances if that is delivered, else the new one's.
 roll() { # new old
-    printf '$ %s\n' "$orchard rollout $control calendar $1 --within 20s --wait"
-    if "$orchard" rollout "$control" calendar "$1" --within 20s --wait; then
+    printf '$ %s\n' "$magpieline rollout $control calendar $1 --within 20s --wait"
+    if "$magpieline" rollout "$control" calendar "$1" --within 20s --wait; then
         show "$gateway" stop calendar "$2"
     else
         show "$gateway" stop calendar "$1"
@@ -77,34 +77,34 @@
 }
 
 say "Building"
-cargo build --release -p magpieline-orchard --bin orchard --example gateway
+cargo build --release -p magpieline-gateway --bin magpieline-gateway --example gateway
 
 say "The files are sound"
-show "$orchard" check examples/gateway/gateway.json
-show "$orchard" check examples/gateway/counter-1.toml
+show "$magpieline" check examples/gateway/gateway.json
+show "$magpieline" check examples/gateway/proxy-1.toml
 
 rm -rf "$work"
-mkdir -p "$work/sorting-1" "$work/sorting-2" "$work/sorting-3"
+mkdir -p "$work/controller-1" "$work/controller-2" "$work/controller-3"
 cp examples/gateway/*.toml examples/gateway/gateway.json "$work/"
 
-say "The platform, three sorting machines and three counters start; logs are in $work/"
+say "The platform, three controllers and three proxies start; logs are in $work/"
 "$gateway" platform >"$work/platform.log" 2>&1 &
 pids="$pids $!"
-for n in 1 2 3; do agent "sorting-$n" sorting; done
-for n in 1 2 3; do agent "counter-$n" counter; done
-until_seen '^leader +127' "$orchard" view 127.0.0.11:7720
+for n in 1 2 3; do agent "controller-$n" controller; done
+for n in 1 2 3; do agent "proxy-$n" proxy; done
+until_seen '^leader +127' "$magpieline" view 127.0.0.11:7720
 echo "Led by $(leader)."
 
-say "A configuration is sent; any sorting machine takes it, the leader decides"
-show "$orchard" send "$control" "$work/gateway.json"
-show "$orchard" read "$control"
-for n in 1 2 3; do until_seen '^edition +1$' "$orchard" view "127.0.0.2$n:7720"; done
+say "A configuration is sent; any controller takes it, the leader decides"
+show "$magpieline" send "$control" "$work/gateway.json"
+show "$magpieline" read "$control"
+for n in 1 2 3; do until_seen '^edition +1$' "$magpieline" view "127.0.0.2$n:7720"; done
 
 if [ "${1:-}" = --stay ]; then
     say "It stays until Ctrl-C. In another shell, for example:"
-    echo "  $orchard view 127.0.0.11:7720 127.0.0.21:7720 --every 2s"
+    echo "  $magpieline view 127.0.0.11:7720 127.0.0.21:7720 --every 2s"
     echo "  $gateway start calendar v2 6"
-    echo "  $orchard rollout $control calendar v2 --within 20s --wait"
+    echo "  $magpieline rollout $control calendar v2 --within 20s --wait"
     echo "  curl -i -H 'Host: booking.example' -H 'Try-Id: 1' -H 'Time-Left-Ms: 2000' http://127.0.0.21:7000/slots/1"
     # shellcheck disable=SC2086
     "$gateway" clients $fronts --seconds 86400 &
@@ -115,8 +115,8 @@
 
 say "What is unsound is refused, by this program and by the gateway"
 sed 's/"service": "firing"/"service": "kiln"/; s/"edition": 1/"edition": 2/' "$work/gateway.json" >"$work/unsound.json"
-show "$orchard" send "$control" "$work/unsound.json"
-show "$orchard" send --unchecked "$control" "$work/unsound.json"
+show "$magpieline" send "$control" "$work/unsound.json"
+show "$magpieline" send --unchecked "$control" "$work/unsound.json"
 
 say "Clients send requests; a line every two seconds from here on"
 # shellcheck disable=SC2086
@@ -134,44 +134,44 @@
 show "$gateway" start calendar v3 6 --fail 0.33
 roll v3 v2
 echo "Why, by the leader's log:"
-grep -h 'rollout: calendar to v3: Returned' "$work"/sorting-*.log || true
+grep -h 'rollout: calendar to v3: Returned' "$work"/controller-*.log || true
 sleep 3
 
 say "The leader is killed; another one leads, clients go on"
 led=$(leader)
 n=${led#127.0.0.1}
 n=${n%%:*}
-echo "Led by $led, sorting-$n: killed."
-killed "sorting-$n"
+echo "Led by $led, controller-$n: killed."
+killed "controller-$n"
 until_seen . leader
 echo "Led by $(leader)."
 sed 's/"edition": 1/"edition": 2/; s/"tries": 2/"tries": 3/' "$work/gateway.json" >"$work/second.json"
-show "$orchard" send "$control" "$work/second.json"
+show "$magpieline" send "$control" "$work/second.json"
 sleep 3
 
 say "Its store, read while it is down; then it comes back"
-show "$orchard" store "$work/sorting-$n"
-agent "sorting-$n" sorting
-until_seen 'edition +2' "$orchard" view "$led"
-show "$orchard" view "$led" 127.0.0.21:7720
+show "$magpieline" store "$work/controller-$n"
+agent "controller-$n" controller
+until_seen 'edition +2' "$magpieline" view "$led"
+show "$magpieline" view "$led" 127.0.0.21:7720
 
 say "A machine loses its disk: it comes back as another life, and is filled by the others"
 n=3
-echo "sorting-$n: killed, its store removed."
-killed "sorting-$n"
-rm -f "$work/sorting-$n/store.redb"
+echo "controller-$n: killed, its store removed."
+killed "controller-$n"
+rm -f "$work/controller-$n/store.redb"
 # It has been there before: as a founder that has forgotten its votes it would do harm.
-sed -i 's/^first_run = true/first_run = false/' "$work/sorting-$n.toml"
-agent "sorting-$n" sorting
-until_seen 'edition +2' "$orchard" view "127.0.0.1$n:7720"
-until_seen "address 127.0.0.1$n:7720 +life [1-9]" "$orchard" view "127.0.0.1$n:7720"
-"$orchard" view "127.0.0.1$n:7720" | grep -A 4 '^voters'
-
-say "A counter's settings change: SIGHUP, no restart"
-sed -i 's/^retry_slack.*/retry_slack = 30/' "$work/counter-1.toml"
+sed -i 's/^first_run = true/first_run = false/' "$work/controller-$n.toml"
+agent "controller-$n" controller
+until_seen 'edition +2' "$magpieline" view "127.0.0.1$n:7720"
+until_seen "address 127.0.0.1$n:7720 +life [1-9]" "$magpieline" view "127.0.0.1$n:7720"
+"$magpieline" view "127.0.0.1$n:7720" | grep -A 4 '^voters'
+
+say "A proxy's settings change: SIGHUP, no restart"
+sed -i 's/^retry_slack.*/retry_slack = 30/' "$work/proxy-1.toml"
 kill -HUP "$pid_counter_1"
-until_seen 'settings: ' cat "$work/counter-1.log"
-grep 'settings: ' "$work/counter-1.log"
+until_seen 'settings: ' cat "$work/proxy-1.log"
+grep 'settings: ' "$work/proxy-1.log"
 
 say "What the appliances have run"
 kill -TERM "$clients"
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::*;
 use crate::state::{Balancer, Seen};
-use magpieline_verdict::End;
+use magpieline_sequential_test::End;
 
 impl HitHandle {
     /// Its forward has ended.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! magpieline: a sidecar that routes hits over two builds and votes on staged releases.
 //!
 //! A [`Balancer`] makes every decision, in `policy/`; [`interface`] holds the types it is reached by. A front
-//! (the agent's, or the bench's adapter in `rigs/benchlink/`) turns what it hears into calls and what it gets
+//! (the agent's, or the bench's adapter in `tools/bench-adapter/`) turns what it hears into calls and what it gets
 //! back into its own words. The rule of its two arms is a library of its own: [`Duel`].
 //!
 //! ```
--- a/src/names.rs
+++ b/src/names.rs
@@ -2,7 +2,7 @@
 //! indices, and fields out of JSON with a plain word on what is missing or wrong. Shared by all fronts.
 
 use crate::interface::{Named, Value};
-use magpieline_verdict::Terms;
+use magpieline_sequential_test::Terms;
 use serde_json::Value as Json;
 use std::collections::HashMap;
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -23,7 +23,7 @@
 use crate::arms::*;
 use crate::interface::*;
 use crate::state::*;
-use magpieline_verdict::{Case, End, Opinion};
+use magpieline_sequential_test::{Case, End, Opinion};
 
 /// Rates are means over a span, reviews come every tick: a few times faster than stages and bursts.
 const SPAN: f64 = 1.0;
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1036,8 +1036,8 @@
         let now = b.now + 0.02;
         handle.returned(&mut b, now, Return { over: true, ..end(again) });
         b.review(now + 1.0);
-        let against = |e: &&magpieline_verdict::Entry| {
-            e.vote == magpieline_verdict::Vote::Back && e.group.is_none() && e.what == "errors"
+        let against = |e: &&magpieline_sequential_test::Entry| {
+            e.vote == magpieline_sequential_test::Vote::Back && e.group.is_none() && e.what == "errors"
         };
         b.account().iter().find(against).map(|e| e.trial.1)
     };
--- a/src/state.rs
+++ b/src/state.rs
@@ -4,7 +4,7 @@
 use crate::arms::{Count, Duel, Evidence, EARLIER, TRIAL};
 use crate::interface::*;
 use crate::names::{flag, number, text};
-use magpieline_verdict::{Case, End, Entry, Look, Outcome, Terms, Voters};
+use magpieline_sequential_test::{Case, End, Entry, Look, Outcome, Terms, Voters};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Ordering;
--- a/rigs/benchlink/src/main.rs
+++ b/tools/bench-adapter/src/main.rs
@@ -36,7 +36,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("magpieline-benchlink: {message}");
+            eprintln!("magpieline-bench-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/rigs/turnstile/src/main.rs
+++ b/tools/proxy-simulation/src/main.rs
@@ -1,13 +1,13 @@
-//! Plays seeds and says which ones went wrong: `turnstile FROM HOW_MANY`.
+//! Plays seeds and says which ones went wrong: `proxy-simulation FROM HOW_MANY`.
 
-use magpieline_turnstile::play;
+use magpieline_proxy_simulation::play;
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let numbers: Vec<u64> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
     let [from, many] = numbers[..] else {
-        eprintln!("Expected: turnstile FROM HOW_MANY, two numbers.");
+        eprintln!("Expected: proxy-simulation FROM HOW_MANY, two numbers.");
         return ExitCode::from(2);
     };
     let (mut bad, mut met) = (0, BTreeMap::<&str, u64>::new());
--- a/rigs/turnstile/src/play.rs
+++ b/tools/proxy-simulation/src/play.rs
@@ -4,11 +4,11 @@
 use crate::book::{Book, InForce, Listing, Micros, Noted, Pages};
 use crate::stream::{pair, End};
 use crate::{client, dice, Dice, GRACE};
-use magpieline_almanac::machine::Machine;
-use magpieline_orchard::counter::dial::{Dial, Stream};
-use magpieline_orchard::counter::{front, swept, Counter};
-use magpieline_trellis::records::{Kept, Standing};
-use magpieline_trellis::words::{Entry, Listing as Told, State};
+use magpieline_config::node_settings::Machine;
+use magpieline_control_plane::messages::{Entry, Listing as Told, State};
+use magpieline_control_plane::state_machine::{Kept, Standing};
+use magpieline_gateway::proxy::connect::{Dial, Stream};
+use magpieline_gateway::proxy::{request_handler, swept, Counter};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -63,7 +63,7 @@
 
     /// A client has connected.
     pub fn serve(&self, far: End) {
-        let task = tokio::spawn(front::connection(self.counter.clone(), far));
+        let task = tokio::spawn(request_handler::connection(self.counter.clone(), far));
         self.served.lock().unwrap_or_else(PoisonError::into_inner).push(task);
     }
 }
--- a/rigs/turnstile/tests/plays.rs
+++ b/tools/proxy-simulation/tests/plays.rs
@@ -1,7 +1,7 @@
 //! Seeded plays of the counter's real path. The same verdict every time: chance comes from the seed, time from tokio's paused
 //! clock.
 
-use magpieline_turnstile::{play, play_with_versions};
+use magpieline_proxy_simulation::{play, play_with_versions};
 
 /// Guards against all that the rig looks for: an answer under another request than its own, what may run once only sent
 /// where an earlier one may have run, promises that are none, requests passed on late, by an old edition or to an
--- a/rigs/nursery/src/losses.rs
+++ b/tools/raft-simulation/src/bounded_losses.rs
@@ -1,7 +1,7 @@
 //! Losses as a deployment promises them: never more at once than `withstand`, the next as soon as the last has had its
 //! `catch_up`, and whenever no more than that is lost somebody leads.
 
-use crate::grove::{Call, Grove, GRACE};
+use crate::cluster::{Call, Grove, GRACE};
 use crate::{address, Fault, Micros, Trouble, MILLI, SECOND};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
--- a/rigs/nursery/src/grove.rs
+++ b/tools/raft-simulation/src/cluster.rs
@@ -1,10 +1,10 @@
 //! The agreement of the sorting machines in a simulated world, with clients, and checked after every step.
 
-use crate::chaos::RECOVERY;
+use crate::fault_injection::RECOVERY;
 use crate::{
     address, Boot, Chaos, Effect, Fault, Input, Micros, Net, Node, Trouble, Watch, World, MILLI, SECOND,
 };
-use magpieline_rootstock::{
+use magpieline_raft::{
     Action, Batch, Core, Envelope, Event, Index, Message, Outcome, Payload, Role, Seat, Start, Stored, Term,
 };
 use rand::{Rng, SeedableRng};
--- a/rigs/nursery/src/lib.rs
+++ b/tools/raft-simulation/src/lib.rs
@@ -7,21 +7,21 @@
 //! state that it agrees on and the real store, over hundreds of large changes. [`Office`] is the sorting machines as
 //! operators call them, with a check of what these saw ([`history`]).
 
-mod chaos;
-mod desk;
-mod grove;
-pub mod history;
-mod losses;
-mod operators;
-mod season;
-mod world;
+mod bounded_losses;
+mod cluster;
+mod fault_injection;
+pub mod linearizability;
+mod long_run;
+mod operator_node;
+mod operator_workload;
+mod simulator;
 
-pub use chaos::{Chaos, Fault};
-pub use desk::{Answer, Asked, Desk};
-pub use grove::{Call, Grove, Note, Planting, Played, Tree};
-pub use operators::{Called, Office};
-pub use season::{Harvest, Season, Sowing, Trial};
-pub use world::{address, Boot, Effect, Input, Net, Node, Trouble, Watch, World};
+pub use cluster::{Call, Grove, Note, Planting, Played, Tree};
+pub use fault_injection::{Chaos, Fault};
+pub use long_run::{Harvest, Season, Sowing, Trial};
+pub use operator_node::{Answer, Asked, Desk};
+pub use operator_workload::{Called, Office};
+pub use simulator::{address, Boot, Effect, Input, Net, Node, Trouble, Watch, World};
 
 /// A time, in microseconds.
 pub type Micros = u64;
--- a/rigs/nursery/src/history.rs
+++ b/tools/raft-simulation/src/linearizability.rs
@@ -42,7 +42,7 @@
     ) -> bool;
 }
 
-/// Steps of the search after which it is given up; histories of the nursery take some thousands.
+/// Steps of the search after which it is given up; histories of the raft-simulation take some thousands.
 const MOST_LOOKS: usize = 3_000_000;
 
 struct Search<'a, M: Model> {
--- a/rigs/nursery/src/season.rs
+++ b/tools/raft-simulation/src/long_run.rs
@@ -5,11 +5,11 @@
 //! lies in memory here and is opened again at each start without having been closed.
 
 use crate::{address, Boot, Effect, Input, Micros, Net, Node, Trouble, Watch, World, MILLI, SECOND};
-use magpieline_granary::{builder, set_aside, Error, Granary, Remedy, Shelf, FILE};
-use magpieline_rootstock::{
+use magpieline_control_plane::state_machine::{Command, Kept, Records};
+use magpieline_raft::{
     Action, Batch, Core, Envelope, Event, Index, Outcome, Role, Seat, Start, Stored, Term,
 };
-use magpieline_trellis::records::{Command, Kept, Records};
+use magpieline_raft_store::{builder, set_aside, Error, Granary, Remedy, Shelf, FILE};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use redb::{Database, DatabaseError, StorageBackend};
--- a/rigs/nursery/src/main.rs
+++ b/tools/raft-simulation/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays many seeds.
 
 use gumdrop::Options;
-use magpieline_nursery::{
+use magpieline_raft_simulation::{
     Called, Grove, Harvest, Micros, Net, Office, Planting, Played, Season, Sowing, Trouble, MILLI, SECOND,
 };
 use std::collections::BTreeMap;
@@ -109,7 +109,7 @@
             ExitCode::SUCCESS
         }
         None => {
-            eprintln!("Say what to do, such as: nursery run --seeds 0..100\n\n{}", Line::usage());
+            eprintln!("Say what to do, such as: raft-simulation run --seeds 0..100\n\n{}", Line::usage());
             ExitCode::FAILURE
         }
     }
@@ -196,7 +196,7 @@
                     failed.fetch_add(1, Ordering::Relaxed);
                     let (machines, steps) = (run.machines, run.steps);
                     println!(
-                        "seed {seed} failed; again with: nursery {command} --seeds {seed}..{} --machines {machines} --steps {steps}",
+                        "seed {seed} failed; again with: raft-simulation {command} --seeds {seed}..{} --machines {machines} --steps {steps}",
                         seed + 1
                     );
                 }
--- a/rigs/nursery/src/desk.rs
+++ b/tools/raft-simulation/src/operator_node.rs
@@ -2,9 +2,9 @@
 //! the program's `sorting/control.rs` does.
 
 use crate::{Boot, Effect, Input, Micros, Node, MILLI, SECOND};
-use magpieline_rootstock::{Action, Batch, Core, Envelope, Event, Index, Outcome, Start, Stored};
-use magpieline_trellis::orders::{Digest, Witness};
-use magpieline_trellis::records::{self, Command, Kept, Phase, Records};
+use magpieline_control_plane::deduplication::{Digest, Witness};
+use magpieline_control_plane::state_machine::{self, Command, Kept, Phase, Records};
+use magpieline_raft::{Action, Batch, Core, Envelope, Event, Index, Outcome, Start, Stored};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -54,7 +54,7 @@
 /// What a machine did.
 pub enum Note {
     Answered { id: u64, answer: Answer },
-    Applied { index: Index, command: Command, effect: records::Effect },
+    Applied { index: Index, command: Command, effect: state_machine::Effect },
     Restored { index: Index, records: Records },
 }
 
@@ -64,7 +64,7 @@
     came: (Micros, Micros),
     /// The question to the core, and what is answered where that needs only its word that this machine leads.
     ticket: Option<u64>,
-    settled: Option<records::Effect>,
+    settled: Option<state_machine::Effect>,
     again_at: Micros,
     /// Whether this machine led when it came.
     led: bool,
@@ -122,7 +122,7 @@
         now: Micros,
         ticket: u64,
         outcome: Outcome,
-        did: &BTreeMap<Index, records::Effect>,
+        did: &BTreeMap<Index, state_machine::Effect>,
         effects: &mut Vec<Effect<Desk>>,
     ) {
         let Some((&id, call)) = self.calls.iter_mut().find(|(_, call)| call.ticket == Some(ticket)) else {
@@ -202,7 +202,7 @@
             }
             Asked::Begin { service, to, within } => {
                 let proposal = self.witness.look(&self.records, call.came, (service, to, *within), RECEIPT);
-                call.settled = proposal.is_none().then_some(records::Effect::Again);
+                call.settled = proposal.is_none().then_some(state_machine::Effect::Again);
                 proposal
             }
         };
--- a/rigs/nursery/src/operators.rs
+++ b/tools/raft-simulation/src/operator_workload.rs
@@ -2,14 +2,14 @@
 //! (or was answered already), to any machine, with answers lost on their way. What they saw is checked at the end as a
 //! history; what the machines did, after every step.
 
-use crate::desk::{Answer, Asked, Call, Desk, Note, RECEIPT};
-use crate::history::{
+use crate::linearizability::{
     self, DocumentAnswer, DocumentAsked, Documents, Fate, RolloutAnswer, RolloutAsked, Rollouts, Seen,
 };
+use crate::operator_node::{Answer, Asked, Call, Desk, Note, RECEIPT};
 use crate::{address, Chaos, Fault, Micros, Net, Node, Trouble, Watch, World, MILLI, SECOND};
-use magpieline_rootstock::{Core, Index};
-use magpieline_trellis::orders::Digest;
-use magpieline_trellis::records::{Command, Effect, Phase, Records};
+use magpieline_control_plane::deduplication::Digest;
+use magpieline_control_plane::state_machine::{Command, Effect, Phase, Records};
+use magpieline_raft::{Core, Index};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -455,11 +455,11 @@
 
     /// Looks at the whole history.
     fn look_back(&self) {
-        if let Err(wrong) = history::check(&Documents, &self.documents()) {
+        if let Err(wrong) = linearizability::check(&Documents, &self.documents()) {
             panic!("configurations: {wrong}\n{}", self.report());
         }
         for service in SERVICES {
-            if let Err(wrong) = history::check(&Rollouts, &self.rollouts(service)) {
+            if let Err(wrong) = linearizability::check(&Rollouts, &self.rollouts(service)) {
                 panic!("rollouts of {service}: {wrong}\n{}", self.report());
             }
             self.one_at_a_time(service);
--- a/rigs/nursery/tests/contact/machines.rs
+++ b/tools/raft-simulation/tests/contact/machines.rs
@@ -3,14 +3,14 @@
 
 use crate::pipe::{Pipe, Segment};
 use bytes::Bytes;
-use magpieline_nursery::{Boot, Effect, Input, Micros, Node, MILLI};
-use magpieline_rootstock::{Action, Batch, Core, Envelope, Event, Outcome, Role, Start, Stored, Term};
-use magpieline_trellis::feed::{self, Feeds};
-use magpieline_trellis::intake::{Intake, Taken};
-use magpieline_trellis::records::{Command, Kept, Records};
-use magpieline_trellis::roster::Roster;
-use magpieline_trellis::tendril::{self, Tendril};
-use magpieline_trellis::words::{frame, unframe, Down, Fenced, Hello, Report, Up};
+use magpieline_control_plane::config_receiver::{Intake, Taken};
+use magpieline_control_plane::config_sender::{self, Feeds};
+use magpieline_control_plane::controller_client::{self, Tendril};
+use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Hello, Report, Up};
+use magpieline_control_plane::proxy_registry::Roster;
+use magpieline_control_plane::state_machine::{Command, Kept, Records};
+use magpieline_raft::{Action, Batch, Core, Envelope, Event, Outcome, Role, Start, Stored, Term};
+use magpieline_raft_simulation::{Boot, Effect, Input, Micros, Node, MILLI};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
@@ -106,7 +106,7 @@
                 self.say(to, link, Segment::Reset, effects);
             }
             self.welcomes.clear();
-            self.feed(now, feed::Event::Leads { term: self.leading() }, effects);
+            self.feed(now, config_sender::Event::Leads { term: self.leading() }, effects);
         }
         for (ticket, outcome) in answered {
             let committed = matches!(outcome, Outcome::Committed { .. });
@@ -126,7 +126,7 @@
 
     fn newest(&mut self, now: Micros, effects: &mut Effects) {
         if let Some(kept) = self.records.edition.clone() {
-            self.feed(now, feed::Event::Edition(kept), effects);
+            self.feed(now, config_sender::Event::Edition(kept), effects);
         }
     }
 
@@ -146,7 +146,7 @@
                 let counters = self.roster.count(now);
                 let word = Down::Welcome { core, counters, asked: hello.at };
                 self.welcomes.insert(link, frame(&Fenced { term, word }).into());
-                self.feed(now, feed::Event::Opened { link, held: hello.edition }, effects);
+                self.feed(now, config_sender::Event::Opened { link, held: hello.edition }, effects);
             }
             None => {
                 let leader = self.core.leader().filter(|leader| *leader != self.me);
@@ -171,16 +171,16 @@
         effects.push(Effect::Send { to, message: Message::Link { from: self.me, link, segment } });
     }
 
-    fn feed(&mut self, now: Micros, event: feed::Event, effects: &mut Effects) {
+    fn feed(&mut self, now: Micros, event: config_sender::Event, effects: &mut Effects) {
         for action in self.feeds.step(now, event) {
             match action {
-                feed::Action::Send { link, frame } => self.tell_frame(now, link, frame, effects),
-                feed::Action::Current { link } => {
+                config_sender::Action::Send { link, frame } => self.tell_frame(now, link, frame, effects),
+                config_sender::Action::Current { link } => {
                     if let Some(welcome) = self.welcomes.remove(&link) {
                         self.tell_frame(now, link, welcome, effects);
                     }
                 }
-                feed::Action::InForce { .. } => {}
+                config_sender::Action::InForce { .. } => {}
             }
         }
     }
@@ -189,7 +189,7 @@
         if self.links.remove(&link).is_some() {
             self.roster.closed(link);
             self.welcomes.remove(&link);
-            self.feed(now, feed::Event::Closed { link }, effects);
+            self.feed(now, config_sender::Event::Closed { link }, effects);
         }
     }
 
@@ -242,8 +242,10 @@
                     to.into_iter().for_each(|to| self.say(to, link, Segment::Reset, effects));
                 }
             }
-            Up::Got { number, upto } => self.feed(now, feed::Event::Got { link, number, upto }, effects),
-            Up::Holds { edition } => self.feed(now, feed::Event::Holds { link, edition }, effects),
+            Up::Got { number, upto } => {
+                self.feed(now, config_sender::Event::Got { link, number, upto }, effects)
+            }
+            Up::Holds { edition } => self.feed(now, config_sender::Event::Holds { link, edition }, effects),
         }
     }
 
@@ -258,7 +260,7 @@
                     let word = Down::Beat { counters, asked, edition };
                     self.tell(now, link, Fenced { term, word }, effects);
                 }
-                self.feed(now, feed::Event::Tick, effects);
+                self.feed(now, config_sender::Event::Tick, effects);
             }
         }
         let links: Vec<u64> = self.links.keys().copied().collect();
@@ -282,25 +284,25 @@
     fn act(
         &mut self,
         now: Micros,
-        actions: Vec<tendril::Action>,
+        actions: Vec<controller_client::Action>,
         word: Option<&Down>,
         effects: &mut Effects,
     ) {
         for action in actions {
             let up = match action {
-                tendril::Action::Dial(to) => {
+                controller_client::Action::Dial(to) => {
                     self.next_link += 1;
                     self.intake = Intake::default();
                     self.link = Some((self.life ^ self.next_link, to, Pipe::default()));
                     self.say(Segment::Open, effects);
                     continue;
                 }
-                tendril::Action::HangUp => {
+                controller_client::Action::HangUp => {
                     self.say(Segment::Reset, effects);
                     self.link = None;
                     continue;
                 }
-                tendril::Action::Hello => Up::Hello(Hello {
+                controller_client::Action::Hello => Up::Hello(Hello {
                     node: self.me.to_string(),
                     zone: "z".into(),
                     life: self.life,
@@ -308,11 +310,11 @@
                     term: self.tendril.term(),
                     at: now,
                 }),
-                tendril::Action::Report => {
+                controller_client::Action::Report => {
                     let (edition, term) = (self.edition, self.tendril.term());
                     Up::Report(Report { edition, evidence: Vec::new(), term, at: now })
                 }
-                tendril::Action::Take => {
+                controller_client::Action::Take => {
                     effects.push(Effect::Note(Note::Took { term: self.tendril.term() }));
                     let answer = word.and_then(|word| self.take(word));
                     self.tendril.in_force(self.edition);
@@ -354,7 +356,7 @@
         }
     }
 
-    fn event(&mut self, now: Micros, event: tendril::Event, effects: &mut Effects) {
+    fn event(&mut self, now: Micros, event: controller_client::Event, effects: &mut Effects) {
         let actions = self.tendril.step(now, event);
         self.act(now, actions, None, effects);
     }
@@ -362,10 +364,10 @@
     fn segment(&mut self, now: Micros, link: u64, segment: Segment, effects: &mut Effects) {
         let Some((_, _, pipe)) = self.link.as_mut().filter(|(own, ..)| *own == link) else { return };
         match segment {
-            Segment::Opened => self.event(now, tendril::Event::Opened, effects),
+            Segment::Opened => self.event(now, controller_client::Event::Opened, effects),
             Segment::Reset => {
                 self.link = None;
-                self.event(now, tendril::Event::Closed, effects);
+                self.event(now, controller_client::Event::Closed, effects);
             }
             Segment::Ack { upto } => pipe.acked(now, upto),
             Segment::Frame { place, bytes } => {
@@ -377,7 +379,7 @@
                         return;
                     }
                     let told = unframe::<Fenced<Down>>(&mut bytes.to_vec()).expect("ours").expect("whole");
-                    let actions = self.tendril.step(now, tendril::Event::Heard(&told));
+                    let actions = self.tendril.step(now, controller_client::Event::Heard(&told));
                     self.act(now, actions, Some(&told.word), effects);
                 }
             }
@@ -390,11 +392,11 @@
             Some(Some(again)) => again.into_iter().for_each(|segment| self.say(segment, effects)),
             Some(None) => {
                 self.link = None;
-                self.event(now, tendril::Event::Closed, effects);
+                self.event(now, controller_client::Event::Closed, effects);
             }
             None => {}
         }
-        self.event(now, tendril::Event::Tick, effects);
+        self.event(now, controller_client::Event::Tick, effects);
     }
 }
 
--- a/rigs/nursery/tests/contact/main.rs
+++ b/tools/raft-simulation/tests/contact/main.rs
@@ -6,8 +6,8 @@
 mod pipe;
 
 use machines::{Call, Machine, Note};
-use magpieline_nursery::{address, Chaos, Fault, Micros, Net, Watch, World, MILLI, SECOND};
-use magpieline_rootstock::Term;
+use magpieline_raft::Term;
+use magpieline_raft_simulation::{address, Chaos, Fault, Micros, Net, Watch, World, MILLI, SECOND};
 use rstest::rstest;
 use std::collections::HashMap;
 
@@ -360,7 +360,7 @@
             // All that think they lead are asked.
             let leads = |machine: &usize| {
                 let core = hall.world.node(*machine).and_then(Machine::core);
-                core.is_some_and(|core| core.role() == magpieline_rootstock::Role::Leader)
+                core.is_some_and(|core| core.role() == magpieline_raft::Role::Leader)
             };
             let asked: Vec<usize> = (0..sorting).filter(leads).collect();
             asked.into_iter().for_each(|machine| _ = hall.replace(machine));
--- a/rigs/nursery/tests/contact/pipe.rs
+++ b/tools/raft-simulation/tests/contact/pipe.rs
@@ -1,7 +1,7 @@
 //! A link as a TCP connection is one: frames come in order, late if need be, or the link ends.
 
 use bytes::Bytes;
-use magpieline_nursery::{Micros, MILLI};
+use magpieline_raft_simulation::{Micros, MILLI};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What is unacknowledged is sent again this often, and ends the link after so long, as `TCP_USER_TIMEOUT` does.
--- a/rigs/nursery/tests/directed.rs
+++ b/tools/raft-simulation/tests/directed.rs
@@ -1,8 +1,8 @@
 //! Losses that matter most, each played on purpose. The grove checks every step by itself: one leader a term, nothing
 //! acknowledged lost, reads that see all, promises on disk before they are made.
 
-use magpieline_nursery::{address, Grove, Net, Planting, Trouble, MILLI, SECOND};
-use magpieline_rootstock::{Outcome, Role, Seat};
+use magpieline_raft::{Outcome, Role, Seat};
+use magpieline_raft_simulation::{address, Grove, Net, Planting, Trouble, MILLI, SECOND};
 use rstest::rstest;
 
 /// Machines with a leader that has led for a second.
--- a/rigs/nursery/tests/history.rs
+++ b/tools/raft-simulation/tests/linearizability.rs
@@ -1,7 +1,7 @@
 //! The checks of histories themselves: those that no single machine could give are found out, and those that one could
 //! give are let pass.
 
-use magpieline_nursery::history::{
+use magpieline_raft_simulation::linearizability::{
     check, DocumentAnswer, DocumentAsked, Documents, Fate, RolloutAnswer, RolloutAsked, Rollouts, Seen,
 };
 use rstest::rstest;
--- a/rigs/nursery/tests/seasons.rs
+++ b/tools/raft-simulation/tests/long_run.rs
@@ -1,7 +1,7 @@
 //! Changes one after the other, and machines in trouble meanwhile, each up again within the bound. The long runs go by
-//! hand: `nursery season`.
+//! hand: `raft-simulation season`.
 
-use magpieline_nursery::{Net, Season, Sowing, MILLI, SECOND};
+use magpieline_raft_simulation::{Net, Season, Sowing, MILLI, SECOND};
 
 /// As a small deployment's: 51 Mbit/s and half a millisecond.
 fn sowing(seed: u64) -> Sowing {
--- a/rigs/nursery/tests/replaced.rs
+++ b/tools/raft-simulation/tests/replaced.rs
@@ -1,7 +1,7 @@
 //! Machines that are lost or leave for good, and successors at new addresses: the next losses that `withstand` allows
 //! come as soon as they may, and find a leader.
 
-use magpieline_nursery::{address, Grove, Net, Planting, MILLI, SECOND};
+use magpieline_raft_simulation::{address, Grove, Net, Planting, MILLI, SECOND};
 use rstest::rstest;
 
 const CATCH_UP: u64 = 4 * SECOND;
--- a/rigs/nursery/tests/seeds.rs
+++ b/tools/raft-simulation/tests/seeds.rs
@@ -1,13 +1,13 @@
 //! Things break by chance. The binary plays thousands of seeds; these few go with every change.
 
-use magpieline_nursery::{Grove, Net, Planting, MILLI};
+use magpieline_raft_simulation::{Grove, Net, Planting, MILLI};
 use rstest::rstest;
 
 /// Guards everything that the grove checks, under kills, wipes, freezes, cuts, bad disks and rough links.
 #[rstest]
 fn chaos_loses_nothing(#[values(3, 5)] machines: usize, #[values(0, 1)] part: u64) {
     for seed in part * 10..part * 10 + 10 {
-        // A failure says its seed: nursery run --seeds SEED..SEED+1 --machines MACHINES --steps 5000
+        // A failure says its seed: raft-simulation run --seeds SEED..SEED+1 --machines MACHINES --steps 5000
         println!("seed {seed}, {machines} machines, 5000 steps");
         Grove::plant(Planting { seed, machines, net: Net::CALM }).endure(seed, 5_000);
     }
@@ -22,7 +22,7 @@
     #[values(4_000, 6_000)] catch_up: u64,
 ) {
     for seed in 0..12 {
-        // A failure says its seed: nursery losses --seeds SEED..SEED+1 --machines MACHINES --catch-up CATCH_UP
+        // A failure says its seed: raft-simulation losses --seeds SEED..SEED+1 --machines MACHINES --catch-up CATCH_UP
         println!("seed {seed}, {machines} machines, {catch_up} ms");
         let planting = Planting { seed, machines, net: Net::CALM };
         Grove::plant_for(planting, (machines - 1) / 2, catch_up * MILLI).endure_losses(seed, 20_000);
--- a/rigs/trials/src/load.rs
+++ b/tools/rollout-simulation/src/load.rs
@@ -6,8 +6,8 @@
 use crate::world::*;
 use magpieline::interface::*;
 use magpieline::Balancer;
-use magpieline_levels::{Door, Ended, Fate, Installation, Ladder, Levels};
-use magpieline_operator::Schema;
+use magpieline_degradation::{Door, Ended, Fate, Installation, Ladder, Levels};
+use magpieline_operator_config::Schema;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -188,7 +188,7 @@
         let agent = play.agent(i);
         play.agents.push(agent);
         let (review, look) =
-            (play.chance.gen_range(0.0..TICK), play.chance.gen_range(0.0..magpieline_levels::LOOK));
+            (play.chance.gen_range(0.0..TICK), play.chance.gen_range(0.0..magpieline_degradation::LOOK));
         play.at(review, Event::Review(i));
         play.at(look, Event::Look(i));
     }
@@ -480,7 +480,7 @@
 
     fn look(&mut self, i: usize) {
         let now = self.now;
-        self.at(now + magpieline_levels::LOOK, Event::Look(i));
+        self.at(now + magpieline_degradation::LOOK, Event::Look(i));
         let agent = &mut self.agents[i];
         let Some(levels) = &mut agent.levels else { return };
         if let Some(change) = levels.look(now) {
--- a/rigs/trials/src/main.rs
+++ b/tools/rollout-simulation/src/main.rs
@@ -19,7 +19,7 @@
 use world::{BAD, TROUBLES};
 
 /// Simulated releases by the thousand: how often good ones are sent back and bad ones carried.
-/// Example: magpieline-trials run --runs 200 --out docs/verdict/grid.csv
+/// Example: magpieline-rollout-simulation run --runs 200 --out docs/verdict/grid.csv
 #[derive(FromArgs)]
 struct CommandLine {
     #[argh(subcommand)]
@@ -249,7 +249,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("magpieline-trials: {message}");
+            eprintln!("magpieline-rollout-simulation: {message}");
             ExitCode::FAILURE
         }
     }
--- a/rigs/scale/src/main.rs
+++ b/tools/scale-test/src/main.rs
@@ -5,12 +5,12 @@
 mod texts;
 
 use gumdrop::Options;
-use magpieline_almanac::edition::Edition;
-use magpieline_trellis::feed::{Action, Event, Feeds};
-use magpieline_trellis::intake::{Intake, Taken};
-use magpieline_trellis::records::{Command, Kept};
-use magpieline_trellis::roster::Roster;
-use magpieline_trellis::words::{frame, unframe, Down, Fenced, Hello, Listing, Report};
+use magpieline_config::gateway_config::Edition;
+use magpieline_control_plane::config_receiver::{Intake, Taken};
+use magpieline_control_plane::config_sender::{Action, Event, Feeds};
+use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Hello, Listing, Report};
+use magpieline_control_plane::proxy_registry::Roster;
+use magpieline_control_plane::state_machine::{Command, Kept};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
--- a/rigs/scale/src/texts.rs
+++ b/tools/scale-test/src/texts.rs
@@ -1,6 +1,6 @@
 //! Made-up configurations and lists.
 
-use magpieline_trellis::words::{Entry, State};
+use magpieline_control_plane::messages::{Entry, State};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddrV4;
--- a/rigs/espalier/src/lib.rs
+++ b/tools/scenarios/src/lib.rs
@@ -1,7 +1,7 @@
 //! Deployments of other shapes for the bench.
 //!
 //! A deployment is a TOML table, read from the bench's site file. A shape is a short TOML table that the repository keeps
-//! (`rigs/days/sites/`): what it names is changed, all else stays. So nothing of the bench's files is kept here.
+//! (`tools/scenarios/days/sites/`): what it names is changed, all else stays. So nothing of the bench's files is kept here.
 //!
 //! A shape holds, each left out if not wanted:
 //! - `name`: text, the deployment's new name is the old one's with a dash and this;
@@ -11,7 +11,7 @@
 //!   one goes on) and `set` (a table, merged into each entry of that class);
 //! - `troubles`: entries that are added to the deployment's, for hunts to draw from.
 //!
-//! Days of our own (`rigs/days/`) may take the place of the deployment's, so that a hunt plays them with many seeds.
+//! Days of our own (`tools/scenarios/days/`) may take the place of the deployment's, so that a hunt plays them with many seeds.
 
 use std::fmt;
 use std::path::Path;
--- a/rigs/espalier/src/main.rs
+++ b/tools/scenarios/src/main.rs
@@ -1,7 +1,7 @@
 //! Writes a deployment of another shape.
 
 use gumdrop::Options;
-use magpieline_espalier::train;
+use magpieline_scenarios::train;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,11 +12,14 @@
     help: bool,
     #[options(free, required, help = "the bench's site file")]
     site: PathBuf,
-    #[options(free, required, help = "a shape, such as rigs/days/sites/five-seats.toml")]
+    #[options(free, required, help = "a shape, such as tools/scenarios/days/sites/five-seats.toml")]
     shape: PathBuf,
     #[options(free, required, help = "where the new site file goes, such as target/sites/five-seats.toml")]
     to: PathBuf,
-    #[options(free, help = "days that take the place of the site file's, such as rigs/days/loss-*.toml")]
+    #[options(
+        free,
+        help = "days that take the place of the site file's, such as tools/scenarios/days/loss-*.toml"
+    )]
     days: Vec<PathBuf>,
 }
 
@@ -25,7 +28,7 @@
     match write(&line) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("espalier: {why}");
+            eprintln!("scenarios: {why}");
             ExitCode::FAILURE
         }
     }
--- a/rigs/espalier/tests/shapes.rs
+++ b/tools/scenarios/tests/shapes.rs
@@ -1,12 +1,12 @@
 //! Shapes given to a small deployment, and what can't be given.
 
-use magpieline_espalier::{train, Misfit};
+use magpieline_scenarios::{train, Misfit};
 use rstest::rstest;
 use std::path::Path;
 use toml::{Table, Value};
 
-const ORCHARD: &str = r#"
-name = "orchard"
+const DEPLOYMENT: &str = r#"
+name = "magpieline-gateway"
 wire = "words.json"
 zones = [{ name = "north", region = "one" }, { name = "south", region = "one" }, { name = "west", region = "one" }]
 machines = [
@@ -21,7 +21,7 @@
 "#;
 
 fn given(shape: &str) -> Table {
-    train(ORCHARD, shape, Path::new("/fields"), &[]).expect("fits").parse().expect("TOML")
+    train(DEPLOYMENT, shape, Path::new("/fields"), &[]).expect("fits").parse().expect("TOML")
 }
 
 /// Values at a path of every entry of a list.
@@ -36,7 +36,7 @@
 
 #[test]
 fn an_empty_shape_changes_only_where_other_files_are() {
-    let mut expected: Table = ORCHARD.parse().expect("TOML");
+    let mut expected: Table = DEPLOYMENT.parse().expect("TOML");
     expected.insert("wire".to_owned(), Value::String("/fields/words.json".to_owned()));
     assert_eq!(given(""), expected);
 }
@@ -44,7 +44,7 @@
 #[test]
 fn what_is_set_is_merged_and_the_rest_stays() {
     let deployment = given("name = 'wide'\n[set.times]\nwake_s = 6.0\n[set.loss]\nbarns = 2");
-    assert_eq!(deployment["name"].as_str(), Some("orchard-wide"));
+    assert_eq!(deployment["name"].as_str(), Some("magpieline-gateway-wide"));
     assert_eq!(deployment["times"]["wake_s"].as_float(), Some(6.0));
     assert_eq!(deployment["times"]["sleep_s"].as_float(), Some(8.0));
     assert_eq!(deployment["loss"]["barns"].as_integer(), Some(2));
@@ -78,7 +78,7 @@
 fn days_take_the_place_of_the_deployment_s() {
     let days = ["[[day]]\nname = 'frost'".to_owned(), "name = 'drought'".to_owned()];
     let text =
-        train(&format!("{ORCHARD}\n[[day]]\nname = 'calm'"), "", Path::new("/fields"), &days).expect("fits");
+        train(&format!("{DEPLOYMENT}\n[[day]]\nname = 'calm'"), "", Path::new("/fields"), &days).expect("fits");
     let names = each(&text.parse().expect("TOML"), "day", &["name"]);
     assert_eq!(names, vec![Value::String("frost".to_owned()), Value::String("drought".to_owned())]);
 }
@@ -91,15 +91,15 @@
 #[case::no_table("set = 3", Misfit::Odd { place: "set".to_owned(), expected: "a table" })]
 #[case::no_names("regions = [1]", Misfit::Odd { place: "regions".to_owned(), expected: "a list of names" })]
 fn what_cannot_be_given_is_named(#[case] shape: &str, #[case] expected: Misfit) {
-    assert_eq!(train(ORCHARD, shape, Path::new("/fields"), &[]), Err(expected));
+    assert_eq!(train(DEPLOYMENT, shape, Path::new("/fields"), &[]), Err(expected));
 }
 
 /// Every shape that the repository keeps can be read.
 #[test]
 fn the_shapes_kept_are_readable() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../days/sites");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("days/sites");
     let mut met = 0;
-    for entry in std::fs::read_dir(&folder).expect("rigs/days/sites") {
+    for entry in std::fs::read_dir(&folder).expect("tools/scenarios/days/sites") {
         let path = entry.expect("an entry").path();
         let text = std::fs::read_to_string(&path).expect("readable");
         assert!(text.parse::<Table>().is_ok(), "{}", path.display());
@@ -111,7 +111,8 @@
 /// Every day that the repository keeps is one a file, named as the file.
 #[test]
 fn the_days_kept_are_one_a_file() {
-    for entry in std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("../days")).expect("rigs/days")
+    for entry in std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("days"))
+        .expect("tools/scenarios/days")
     {
         let path = entry.expect("an entry").path();
         if path.extension().is_none_or(|kind| kind != "toml") {
