--- a/crates/attempt-log/src/lib.rs
+++ b/crates/attempt-log/src/lib.rs
@@ -117,7 +117,13 @@
 impl Ledger {
     pub fn start(now: f64, bounds: Bounds) -> Ledger {
         let (entries, order, never) = Default::default();
-        Ledger { bounds, entries, order, never, knows_from: now }
+        Ledger {
+            bounds,
+            entries,
+            order,
+            never,
+            knows_from: now,
+        }
     }
 
     /// Goes on from the records of its predecessors, all of them since `knows_from`.
@@ -166,7 +172,10 @@
             }
             self.order.pop_front();
             // Touched since: a later word stands further back.
-            let over = self.entries.get(&id).is_some_and(|e| e.touched <= at && e.in_hand == 0);
+            let over = self
+                .entries
+                .get(&id)
+                .is_some_and(|e| e.touched <= at && e.in_hand == 0);
             if over {
                 self.entries.remove(&id);
             } else if self.entries.get(&id).is_some_and(|e| e.touched <= at) {
@@ -179,7 +188,11 @@
     /// Forgets one that provably never ran; whether there was one. Asked for again and said so, it will be refused.
     fn make_room(&mut self) -> bool {
         while let Some(id) = self.never.pop_front() {
-            if self.entries.get(&id).is_some_and(|e| e.in_hand == 0 && !e.ran) {
+            if self
+                .entries
+                .get(&id)
+                .is_some_and(|e| e.in_hand == 0 && !e.ran)
+            {
                 self.entries.remove(&id);
                 return true;
             }
@@ -195,8 +208,10 @@
         // Each asking and each end leaves a word here: of one id only the last counts.
         if self.order.len() > 4 * self.entries.len() + 64 {
             let entries = &self.entries;
-            self.order.retain(|(at, id)| entries.get(id).is_some_and(|e| e.touched == *at));
-            self.never.retain(|id| entries.get(id).is_some_and(|e| e.in_hand == 0 && !e.ran));
+            self.order
+                .retain(|(at, id)| entries.get(id).is_some_and(|e| e.touched == *at));
+            self.never
+                .retain(|id| entries.get(id).is_some_and(|e| e.in_hand == 0 && !e.ran));
             self.never.truncate(2 * self.entries.len());
         }
     }
@@ -217,7 +232,14 @@
             if self.entries.len() >= self.bounds.most && !self.make_room() {
                 return Err(Refusal::Full);
             }
-            let entry = Entry { kind: ask.kind, in_hand: 1, sent: 0, risk: None, ran: false, touched: now };
+            let entry = Entry {
+                kind: ask.kind,
+                in_hand: 1,
+                sent: 0,
+                risk: None,
+                ran: false,
+                touched: now,
+            };
             self.entries.insert(ask.id, entry);
             self.touch(now, ask.id);
             return Ok(None);
@@ -240,7 +262,11 @@
     pub fn sent(&mut self, now: f64, id: u64, zone: usize, cell: i64) -> Option<Record> {
         let entry = self.entries.get_mut(&id)?;
         entry.sent += 1;
-        let risk = Risk { at: now, zone, cell };
+        let risk = Risk {
+            at: now,
+            zone,
+            cell,
+        };
         entry.risk = entry.risk.or(Some(risk));
         let kind = entry.kind;
         self.touch(now, id);
@@ -277,8 +303,13 @@
 
     /// All that a new journal has to begin with.
     pub fn snapshot(&self) -> Vec<Record> {
-        let known = self.entries.iter().filter_map(|(id, e)| Some((*id, e.kind, e.risk?)));
-        known.map(|(id, kind, risk)| Record::Sent { id, kind, risk }).collect()
+        let known = self
+            .entries
+            .iter()
+            .filter_map(|(id, e)| Some((*id, e.kind, e.risk?)));
+        known
+            .map(|(id, kind, risk)| Record::Sent { id, kind, risk })
+            .collect()
     }
 }
 
@@ -287,7 +318,10 @@
     use super::*;
     use proptest::prelude::*;
 
-    const BOUNDS: Bounds = Bounds { most: 100, remember: 60.0 };
+    const BOUNDS: Bounds = Bounds {
+        most: 100,
+        remember: 60.0,
+    };
     const TAGGED: Kind = Kind::Tagged { window: 2.0 };
 
     fn ledger() -> Ledger {
@@ -295,19 +329,35 @@
     }
 
     fn ask(id: u64, kind: Kind) -> Ask {
-        Ask { id, kind, again: false, began: None }
+        Ask {
+            id,
+            kind,
+            again: false,
+            began: None,
+        }
     }
 
     #[test]
     fn a_mutating_one_goes_once_unless_it_never_ran() {
         let (mut l, pay) = (ledger(), ask(1, Kind::Mutating));
         assert_eq!(l.ask(1001.0, &pay), Ok(None));
-        assert_eq!(l.ask(1001.0, &pay), Err(Refusal::InHand), "two callers at once");
+        assert_eq!(
+            l.ask(1001.0, &pay),
+            Err(Refusal::InHand),
+            "two callers at once"
+        );
         l.ended(1001.1, 1, false, Ran::Never);
-        assert_eq!(l.ask(1001.2, &pay), Ok(None), "it was bounced, so it never ran");
+        assert_eq!(
+            l.ask(1001.2, &pay),
+            Ok(None),
+            "it was bounced, so it never ran"
+        );
         assert!(l.sent(1001.2, 1, 0, 0).is_some());
         assert_eq!(l.ask(1001.3, &pay), Err(Refusal::InHand));
-        assert_eq!(l.ended(1001.4, 1, true, Ran::Never), Some(Record::Never { id: 1 }));
+        assert_eq!(
+            l.ended(1001.4, 1, true, Ran::Never),
+            Some(Record::Never { id: 1 })
+        );
         assert_eq!(l.ask(1001.5, &pay), Ok(None), "turned away unseen");
         l.sent(1001.5, 1, 0, 0);
         assert_eq!(l.ended(1001.6, 1, true, Ran::Maybe), None);
@@ -319,14 +369,30 @@
     fn a_tagged_one_goes_again_within_its_window_and_only_where_it_is_known() {
         let (mut l, book) = (ledger(), ask(1, TAGGED));
         assert_eq!(l.ask(1001.0, &book), Ok(None));
-        assert_eq!(l.ask(1001.0, &book), Err(Refusal::InHand), "not sent yet: where it goes is not known");
+        assert_eq!(
+            l.ask(1001.0, &book),
+            Err(Refusal::InHand),
+            "not sent yet: where it goes is not known"
+        );
         l.sent(1001.0, 1, 3, 7);
-        let risk = Risk { at: 1001.0, zone: 3, cell: 7 };
-        assert_eq!(l.ask(1001.5, &book), Ok(Some(risk)), "while the first is under way");
+        let risk = Risk {
+            at: 1001.0,
+            zone: 3,
+            cell: 7,
+        };
+        assert_eq!(
+            l.ask(1001.5, &book),
+            Ok(Some(risk)),
+            "while the first is under way"
+        );
         l.sent(1001.6, 1, 3, 7);
         l.ended(1002.0, 1, true, Ran::Maybe);
         l.ended(1002.1, 1, true, Ran::Maybe);
-        assert_eq!(l.ask(1002.9, &book), Ok(Some(risk)), "the window counts from the first");
+        assert_eq!(
+            l.ask(1002.9, &book),
+            Ok(Some(risk)),
+            "the window counts from the first"
+        );
         l.ended(1002.9, 1, false, Ran::Never);
         assert_eq!(l.ask(1003.1, &book), Err(Refusal::MayHaveRun));
     }
@@ -334,14 +400,34 @@
     #[test]
     fn what_is_older_than_the_ledger_is_not_risked() {
         let mut l = ledger();
-        let again = Ask { again: true, ..ask(1, Kind::Mutating) };
+        let again = Ask {
+            again: true,
+            ..ask(1, Kind::Mutating)
+        };
         assert_eq!(l.ask(1001.0, &again), Err(Refusal::Unknown));
-        assert_eq!(l.ask(1100.0, &again), Err(Refusal::Unknown), "forgotten, perhaps");
-        let older = Ask { began: Some(999.0), ..ask(2, TAGGED) };
+        assert_eq!(
+            l.ask(1100.0, &again),
+            Err(Refusal::Unknown),
+            "forgotten, perhaps"
+        );
+        let older = Ask {
+            began: Some(999.0),
+            ..ask(2, TAGGED)
+        };
         assert_eq!(l.ask(1001.0, &older), Err(Refusal::Unknown));
-        let forgotten = Ask { began: Some(1001.0), ..ask(8, Kind::Mutating) };
-        assert_eq!(l.ask(1062.0, &forgotten), Err(Refusal::Unknown), "forgotten, perhaps");
-        let newer = Ask { began: Some(1000.5), ..ask(2, Kind::Mutating) };
+        let forgotten = Ask {
+            began: Some(1001.0),
+            ..ask(8, Kind::Mutating)
+        };
+        assert_eq!(
+            l.ask(1062.0, &forgotten),
+            Err(Refusal::Unknown),
+            "forgotten, perhaps"
+        );
+        let newer = Ask {
+            began: Some(1000.5),
+            ..ask(2, Kind::Mutating)
+        };
         assert_eq!(l.ask(1001.0, &newer), Ok(None));
         assert_eq!(l.ask(1001.0, &ask(3, Kind::Repeatable)), Ok(None));
         assert_eq!(l.len(), 1, "repeatable ones are not remembered");
@@ -353,14 +439,21 @@
         let mut l = ledger();
         l.ask(1001.0, &ask(1, Kind::Mutating)).expect("new");
         l.ended(1001.0, 1, false, Ran::Never);
-        let again = Ask { again: true, ..ask(1, Kind::Mutating) };
+        let again = Ask {
+            again: true,
+            ..ask(1, Kind::Mutating)
+        };
         assert_eq!(l.ask(1002.0, &again), Ok(None));
         l.ended(1002.0, 1, false, Ran::Never);
         for id in 100..200 {
             assert_eq!(l.ask(1003.0, &ask(id, Kind::Mutating)), Ok(None));
         }
         assert_eq!(l.ask(1003.0, &again), Err(Refusal::Unknown));
-        assert_eq!(l.ask(1003.0, &ask(300, Kind::Mutating)), Err(Refusal::Full), "all in hand");
+        assert_eq!(
+            l.ask(1003.0, &ask(300, Kind::Mutating)),
+            Err(Refusal::Full),
+            "all in hand"
+        );
     }
 
     #[test]
@@ -372,12 +465,22 @@
             l.ended(1002.0, id, true, Ran::Maybe);
         }
         assert_eq!(l.ask(1030.0, &ask(200, Kind::Mutating)), Err(Refusal::Full));
-        assert_eq!(l.ask(1061.0, &ask(5, Kind::Mutating)), Err(Refusal::MayHaveRun));
-        assert_eq!(l.ask(1063.0, &ask(200, Kind::Mutating)), Ok(None), "the old ones are forgotten");
+        assert_eq!(
+            l.ask(1061.0, &ask(5, Kind::Mutating)),
+            Err(Refusal::MayHaveRun)
+        );
+        assert_eq!(
+            l.ask(1063.0, &ask(200, Kind::Mutating)),
+            Ok(None),
+            "the old ones are forgotten"
+        );
         assert_eq!(l.len(), 1);
         // One that is in hand is not forgotten, however old.
         l.sent(1063.0, 200, 0, 0);
-        assert_eq!(l.ask(1300.0, &ask(200, Kind::Mutating)), Err(Refusal::InHand));
+        assert_eq!(
+            l.ask(1300.0, &ask(200, Kind::Mutating)),
+            Err(Refusal::InHand)
+        );
         for i in 0..10_000 {
             let _ = l.ask(1300.0, &ask(200, Kind::Mutating)); // refused each time
             l.touch(1300.0 + f64::from(i) * 1e-3, 200);
@@ -395,13 +498,37 @@
             records.extend(ran.and_then(|ran| l.ended(1001.5, id, true, ran)));
         }
         let mut l = Ledger::recover(1002.0, BOUNDS, &records, 1000.0);
-        assert_eq!(l.ask(1002.0, &ask(1, Kind::Mutating)), Err(Refusal::MayHaveRun));
-        let again = Ask { again: true, ..ask(2, Kind::Mutating) };
-        assert_eq!(l.ask(1002.0, &again), Ok(None), "it never ran, and that is known");
-        assert_eq!(l.ask(1002.0, &ask(3, Kind::Mutating)), Err(Refusal::MayHaveRun));
-        let began = |began| Ask { began: Some(began), ..ask(9, Kind::Mutating) };
-        assert_eq!(l.ask(1002.0, &began(999.0)), Err(Refusal::Unknown), "older than the journal");
-        assert_eq!(l.ask(1002.0, &began(1000.5)), Ok(None), "older than the restart only");
+        assert_eq!(
+            l.ask(1002.0, &ask(1, Kind::Mutating)),
+            Err(Refusal::MayHaveRun)
+        );
+        let again = Ask {
+            again: true,
+            ..ask(2, Kind::Mutating)
+        };
+        assert_eq!(
+            l.ask(1002.0, &again),
+            Ok(None),
+            "it never ran, and that is known"
+        );
+        assert_eq!(
+            l.ask(1002.0, &ask(3, Kind::Mutating)),
+            Err(Refusal::MayHaveRun)
+        );
+        let began = |began| Ask {
+            began: Some(began),
+            ..ask(9, Kind::Mutating)
+        };
+        assert_eq!(
+            l.ask(1002.0, &began(999.0)),
+            Err(Refusal::Unknown),
+            "older than the journal"
+        );
+        assert_eq!(
+            l.ask(1002.0, &began(1000.5)),
+            Ok(None),
+            "older than the restart only"
+        );
         assert_eq!(l.snapshot().len(), 2);
     }
 
--- a/crates/config/src/gateway_config.rs
+++ b/crates/config/src/gateway_config.rs
@@ -30,7 +30,12 @@
 /// What holds where a configuration is silent.
 impl Default for Allowances {
     fn default() -> Allowances {
-        Allowances { header_bytes: 16_384, body_bytes: 1 << 26, header: 3_000_000, idle: 15_000_000 }
+        Allowances {
+            header_bytes: 16_384,
+            body_bytes: 1 << 26,
+            header: 3_000_000,
+            idle: 15_000_000,
+        }
     }
 }
 
@@ -65,8 +70,13 @@
 
     /// Reads and checks a configuration; all that is wrong with it is returned.
     pub fn examine(text: &str) -> Result<Edition, Vec<Complaint>> {
-        let root = jzon::parse(text)
-            .map_err(|e| vec![Complaint::new("document", quoted(&e.to_string()), "JSON, whole")])?;
+        let root = jzon::parse(text).map_err(|e| {
+            vec![Complaint::new(
+                "document",
+                quoted(&e.to_string()),
+                "JSON, whole",
+            )]
+        })?;
         let mut reader = Reader::default();
         let edition = reader.edition(&root);
         match edition.filter(|_| reader.wrong.is_empty()) {
@@ -77,7 +87,10 @@
 
     /// Reads and checks a configuration as [`Edition::read`] does; routes whose text is as in the one before aren't read
     /// again.
-    pub fn read_after(text: &Arc<str>, before: Option<&Edition>) -> Result<Edition, Vec<Complaint>> {
+    pub fn read_after(
+        text: &Arc<str>,
+        before: Option<&Edition>,
+    ) -> Result<Edition, Vec<Complaint>> {
         // What is wrong is told as by the one who reads the whole.
         Edition::reread(text, before).map_or_else(|| Edition::read(text), Ok)
     }
@@ -86,7 +99,12 @@
         let places = reload::places(text)?;
         let none = Sources::default();
         let known = before.map_or(&none, |b| &b.sources).known(text, &places);
-        let mut reader = Reader { text, places: &places, known, ..Reader::default() };
+        let mut reader = Reader {
+            text,
+            places: &places,
+            known,
+            ..Reader::default()
+        };
         let mut edition = reader.edition(&jzon::parse(&reload::shorten(text, &places)).ok()?)?;
         let whole = reader.wrong.is_empty() && reader.routes.len() == places.len();
         let routes = std::mem::take(&mut reader.routes);
@@ -130,9 +148,16 @@
 
 impl Reader<'_> {
     fn complain(&mut self, place: String, found: &Json, expected: &str) {
-        self.wrong.push(Complaint::new(place, shown(found), expected));
+        self.wrong
+            .push(Complaint::new(place, shown(found), expected));
     }
-    fn whole(&mut self, body: &Json, place: &str, name: &str, otherwise: Option<u64>) -> Option<u64> {
+    fn whole(
+        &mut self,
+        body: &Json,
+        place: &str,
+        name: &str,
+        otherwise: Option<u64>,
+    ) -> Option<u64> {
         let value = &body[name];
         match (value.as_u64(), otherwise) {
             (Some(number), _) if value.is_number() => Some(number),
@@ -143,7 +168,13 @@
             }
         }
     }
-    fn time(&mut self, body: &Json, place: &str, name: &str, otherwise: Option<Micros>) -> Option<Micros> {
+    fn time(
+        &mut self,
+        body: &Json,
+        place: &str,
+        name: &str,
+        otherwise: Option<Micros>,
+    ) -> Option<Micros> {
         let value = &body[name];
         match (value.as_str().and_then(durations::read), otherwise) {
             (Some(micros), _) => Some(micros),
@@ -187,17 +218,29 @@
             if let (Some(name), Some(cap)) = (name, conn_cap) {
                 self.names.insert(name.clone());
                 let conn_cap = u32::try_from(cap).unwrap_or(u32::MAX);
-                fleets.insert(name.clone(), Fleet { name, health_path, conn_cap });
+                fleets.insert(
+                    name.clone(),
+                    Fleet {
+                        name,
+                        health_path,
+                        conn_cap,
+                    },
+                );
             }
         }
         let mut table = Table::default();
         for (i, wicket) in self.list(root, "", "wickets").iter().enumerate() {
             let place = format!("wickets.{i}");
-            let host = self.text(wicket, &place, "depot").unwrap_or_default().to_owned();
+            let host = self
+                .text(wicket, &place, "depot")
+                .unwrap_or_default()
+                .to_owned();
             for (j, body) in self.list(wicket, &place, "regulations").iter().enumerate() {
                 let (nth, place) = (self.routes.len(), || format!("{place}.regulations.{j}"));
                 let route = match (self.known.get(nth).cloned().flatten(), self.places.get(nth)) {
-                    (Some(known), _) if known.parts.iter().all(|p| self.names.contains(&p.service)) => {
+                    (Some(known), _)
+                        if known.parts.iter().all(|p| self.names.contains(&p.service)) =>
+                    {
                         Some(known)
                     }
                     (_, Some(range)) => match jzon::parse(&self.text[range.clone()]) {
@@ -215,7 +258,13 @@
                 }
             }
         }
-        Some(Edition { number: number?, allowances: allowances?, fleets, table, sources: Sources::default() })
+        Some(Edition {
+            number: number?,
+            allowances: allowances?,
+            fleets,
+            table,
+            sources: Sources::default(),
+        })
     }
 
     fn allowances(&mut self, body: &Json) -> Option<Allowances> {
@@ -224,7 +273,12 @@
             self.complain(place.into(), body, "an object");
         }
         Some(Allowances {
-            header_bytes: self.whole(body, place, "header_bytes", Some(plain.header_bytes as u64))? as usize,
+            header_bytes: self.whole(
+                body,
+                place,
+                "header_bytes",
+                Some(plain.header_bytes as u64),
+            )? as usize,
             body_bytes: self.whole(body, place, "body_bytes", Some(plain.body_bytes))?,
             header: self.time(body, place, "header", Some(plain.header))?,
             idle: self.time(body, place, "idle", Some(plain.idle))?,
@@ -244,12 +298,19 @@
         let (dispatch, inner) = (&body["dispatch"], under(place, "dispatch"));
         let give_up = self.time(dispatch, &inner, "give_up", None);
         if give_up.is_some_and(|t| t == 0 || t > LONGEST) {
-            self.complain(under(&inner, "give_up"), &dispatch["give_up"], "a time above 0, at most 600s");
+            self.complain(
+                under(&inner, "give_up"),
+                &dispatch["give_up"],
+                "a time above 0, at most 600s",
+            );
         }
         let target = self.time(body, place, "target", give_up);
         if let (Some(target), Some(give_up)) = (target, give_up) {
             if target >= give_up.saturating_add(BEYOND) {
-                let most = format!("less than 60s over its give_up of {}", durations::write(give_up));
+                let most = format!(
+                    "less than 60s over its give_up of {}",
+                    durations::write(give_up)
+                );
                 self.complain(under(place, "target"), &body["target"], &most);
             }
         }
@@ -273,21 +334,38 @@
     fn parts(&mut self, dispatch: &Json, place: &str) -> Option<Vec<Part>> {
         if dispatch["apportion"].is_null() {
             let service = self.service(dispatch, place)?;
-            return Some(vec![Part { service, share: 1.0 }]);
+            return Some(vec![Part {
+                service,
+                share: 1.0,
+            }]);
         }
         let (mut parts, place) = (Vec::new(), under(place, "apportion"));
         for (i, body) in self.list(dispatch, "", "apportion").iter().enumerate() {
             let place = under(&place, i);
             let service = self.service(body, &place);
-            let share = body["share"].as_f64().filter(|s| s.is_finite() && *s >= 0.0);
+            let share = body["share"]
+                .as_f64()
+                .filter(|s| s.is_finite() && *s >= 0.0);
             if share.is_none() {
-                self.complain(under(&place, "share"), &body["share"], "a number of 0 or more");
+                self.complain(
+                    under(&place, "share"),
+                    &body["share"],
+                    "a number of 0 or more",
+                );
             }
-            parts.extend(service.zip(share).map(|(service, share)| Part { service, share }));
+            parts.extend(
+                service
+                    .zip(share)
+                    .map(|(service, share)| Part { service, share }),
+            );
         }
         parts.retain(|p| p.share > 0.0);
         if parts.is_empty() {
-            self.complain(place, &dispatch["apportion"], "shares that add up to more than 0");
+            self.complain(
+                place,
+                &dispatch["apportion"],
+                "shares that add up to more than 0",
+            );
             return None;
         }
         Some(parts)
@@ -297,7 +375,11 @@
         let name = self.text(body, place, "service")?;
         let known = self.names.get(name).cloned();
         if known.is_none() {
-            self.complain(under(place, "service"), &body["service"], "the name of a fleet");
+            self.complain(
+                under(place, "service"),
+                &body["service"],
+                "the name of a fleet",
+            );
         }
         known
     }
@@ -338,7 +420,10 @@
     #[test]
     fn draws_fall_by_share() {
         let edition = Edition::read(SOUND).expect("sound");
-        let route = edition.table().find("ficu.example", "/lohu/").expect("a route");
+        let route = edition
+            .table()
+            .find("ficu.example", "/lohu/")
+            .expect("a route");
         let drawn = [0.0, 0.89, 0.91, 1.0].map(|d| route.part(d).service.to_string());
         assert_eq!(drawn, ["a", "a", "b", "b"]);
     }
@@ -366,16 +451,25 @@
         "wickets.0.regulations.0.sorting.lane_prefix"
     )]
     #[case::cut_short("\"tls\":false}]}", "\"tls\":fal", "document")]
-    fn what_is_invalid_is_refused_with_its_place(#[case] from: &str, #[case] to: &str, #[case] place: &str) {
+    fn what_is_invalid_is_refused_with_its_place(
+        #[case] from: &str,
+        #[case] to: &str,
+        #[case] place: &str,
+    ) {
         assert!(SOUND.contains(from));
         let wrong = Edition::read(&SOUND.replacen(from, to, 1)).expect_err("refused");
-        assert_eq!(wrong.iter().map(|c| c.place.as_str()).collect::<Vec<_>>(), [place]);
+        assert_eq!(
+            wrong.iter().map(|c| c.place.as_str()).collect::<Vec<_>>(),
+            [place]
+        );
     }
 
     /// Guards against refusing what lies just inside the bounds.
     #[test]
     fn what_lies_at_the_bounds_is_sound() {
-        let far = SOUND.replacen("1500ms", "600s", 1).replacen("\"800ms\"", "\"61.999s\"", 1);
+        let far = SOUND
+            .replacen("1500ms", "600s", 1)
+            .replacen("\"800ms\"", "\"61.999s\"", 1);
         assert!(Edition::read(&far).is_ok());
         assert_eq!((number_of(SOUND), number_of("{")), (Some(7), None));
     }
--- a/crates/config/src/node_settings.rs
+++ b/crates/config/src/node_settings.rs
@@ -78,7 +78,8 @@
 impl<'a> Fields<'a> {
     fn complain(&mut self, name: &str, found: Option<&Value>, expected: &str) {
         let found = found.map_or("nothing".to_owned(), shown);
-        self.wrong.push(Complaint::new(under(self.place, name), found, expected));
+        self.wrong
+            .push(Complaint::new(under(self.place, name), found, expected));
     }
     fn get(&self, name: &str) -> Option<&'a Value> {
         self.table?.get(name)
@@ -128,7 +129,11 @@
     fn address(&mut self, name: &str, value: &Value) -> Option<SocketAddrV4> {
         let address = value.as_str().and_then(|text| text.parse().ok());
         if address.is_none() {
-            self.complain(name, Some(value), "an address and a port such as 10.0.0.4:8080");
+            self.complain(
+                name,
+                Some(value),
+                "an address and a port such as 10.0.0.4:8080",
+            );
         }
         address
     }
@@ -153,8 +158,16 @@
             Ok(root) => root,
             Err(e) => {
                 let at = e.span().map_or(0, |s| s.start.min(text.len()));
-                let line = text.as_bytes()[..at].iter().filter(|b| **b == b'\n').count() + 1;
-                return Err(vec![Complaint::new(format!("line {line}"), e.message(), "TOML")]);
+                let line = text.as_bytes()[..at]
+                    .iter()
+                    .filter(|b| **b == b'\n')
+                    .count()
+                    + 1;
+                return Err(vec![Complaint::new(
+                    format!("line {line}"),
+                    e.message(),
+                    "TOML",
+                )]);
             }
         };
         let mut wrong = Vec::new();
@@ -166,7 +179,11 @@
             Some(table)
         };
 
-        let mut own = Fields { table: part(&["self"]), place: "self", wrong: &mut wrong };
+        let mut own = Fields {
+            table: part(&["self"]),
+            place: "self",
+            wrong: &mut wrong,
+        };
         let (node, class) = (own.text("node"), own.text("machine_class"));
         let (zone, region) = (own.text("zone"), own.text("region"));
         let first_run = own.flag("first_run", false);
@@ -177,27 +194,54 @@
         let store = own.get("store_dir").map(|_| own.text("store_dir"));
 
         let table = part(&["self", "allowances"]);
-        let mut bounds = Fields { table, place: "self.allowances", wrong: &mut wrong };
+        let mut bounds = Fields {
+            table,
+            place: "self.allowances",
+            wrong: &mut wrong,
+        };
         let memory_mb = bounds.number("memory_mb", 256.0) as u64;
         let descriptors = bounds.number("file_handles", 1024.0) as u64;
         let disk_mb = bounds.number("disk_mb", 0.0) as u64;
 
-        let mut net = Fields { table: part(&["network"]), place: "network", wrong: &mut wrong };
-        let inner_ports = match net.get("inner_ports").and_then(Value::as_array).map(Vec::as_slice) {
+        let mut net = Fields {
+            table: part(&["network"]),
+            place: "network",
+            wrong: &mut wrong,
+        };
+        let inner_ports = match net
+            .get("inner_ports")
+            .and_then(Value::as_array)
+            .map(Vec::as_slice)
+        {
             Some([Value::Integer(first), Value::Integer(last)])
                 if (1..=65535).contains(first) && (first..=&65535).contains(&last) =>
             {
                 (*first as u16, *last as u16)
             }
             _ => {
-                net.complain("inner_ports", net.get("inner_ports"), "two ports, the first and the last");
+                net.complain(
+                    "inner_ports",
+                    net.get("inner_ports"),
+                    "two ports, the first and the last",
+                );
                 (0, 0)
             }
         };
-        let listed = net.get("seed_depots").and_then(Value::as_array).cloned().unwrap_or_default();
-        let seeds = listed.iter().filter_map(|value| net.address("seed_depots", value)).collect();
+        let listed = net
+            .get("seed_depots")
+            .and_then(Value::as_array)
+            .cloned()
+            .unwrap_or_default();
+        let seeds = listed
+            .iter()
+            .filter_map(|value| net.address("seed_depots", value))
+            .collect();
         let table = part(&["network", "posts"]);
-        let mut posts = Fields { table, place: "network.posts", wrong: &mut wrong };
+        let mut posts = Fields {
+            table,
+            place: "network.posts",
+            wrong: &mut wrong,
+        };
         let posts = table
             .into_iter()
             .flatten()
@@ -210,16 +254,34 @@
             .collect();
 
         let table = part(&["carrier", "carrier_api"]);
-        let mut api = Fields { table, place: "carrier.carrier_api", wrong: &mut wrong };
-        let address = api.get("address").and_then(|value| api.address("address", value));
-        let carrier = Carrier { address, per_s: api.number("per_s", 10.0), lag: api.time("lag", "1s") };
+        let mut api = Fields {
+            table,
+            place: "carrier.carrier_api",
+            wrong: &mut wrong,
+        };
+        let address = api
+            .get("address")
+            .and_then(|value| api.address("address", value));
+        let carrier = Carrier {
+            address,
+            per_s: api.number("per_s", 10.0),
+            lag: api.time("lag", "1s"),
+        };
 
         let table = part(&["provisions", "withstand"]);
-        let mut may = Fields { table, place: "provisions.withstand", wrong: &mut wrong };
+        let mut may = Fields {
+            table,
+            place: "provisions.withstand",
+            wrong: &mut wrong,
+        };
         let withstand = may.number("machines", 1.0) as u64;
         let withstand_areas = (may.number("zones", 0.0) + may.number("regions", 0.0)) as u64;
         let table = part(&["provisions", "guarantees"]);
-        let mut told = Fields { table, place: "provisions.guarantees", wrong: &mut wrong };
+        let mut told = Fields {
+            table,
+            place: "provisions.guarantees",
+            wrong: &mut wrong,
+        };
         let terms = Terms {
             seed_lag: told.time("seed_lag", "3s"),
             reuse_after: told.time("reuse_after", "2s"),
@@ -298,10 +360,22 @@
     #[test]
     fn unknown_fields_are_skipped_and_absent_ones_have_defaults() {
         let machine = Machine::read(SOUND).expect("sound");
-        assert_eq!((machine.inner_ports, machine.memory_mb, machine.first_run), ((7720, 7735), 260, true));
-        assert_eq!((machine.terms.drain, machine.terms.retry_slack), (2_500_000, 58.0));
-        assert_eq!((machine.terms.grace, machine.store, machine.carrier.lag), (6_000_000, None, 800_000));
-        assert_eq!(machine.posts["front"], "10.1.0.13:8161".parse().expect("address"));
+        assert_eq!(
+            (machine.inner_ports, machine.memory_mb, machine.first_run),
+            ((7720, 7735), 260, true)
+        );
+        assert_eq!(
+            (machine.terms.drain, machine.terms.retry_slack),
+            (2_500_000, 58.0)
+        );
+        assert_eq!(
+            (machine.terms.grace, machine.store, machine.carrier.lag),
+            (6_000_000, None, 800_000)
+        );
+        assert_eq!(
+            machine.posts["front"],
+            "10.1.0.13:8161".parse().expect("address")
+        );
     }
 
     /// Guards against an operator who has to mend a file one complaint at a time.
@@ -313,11 +387,21 @@
             .replace("node = \"n-1\"", "");
         let wrong = Machine::read(&odd).expect_err("three things are wrong");
         let places: Vec<&str> = wrong.iter().map(|c| c.place.as_str()).collect();
-        assert_eq!(places, ["self.node", "network.inner_ports", "provisions.guarantees.drain"]);
+        assert_eq!(
+            places,
+            [
+                "self.node",
+                "network.inner_ports",
+                "provisions.guarantees.drain"
+            ]
+        );
         assert_eq!(
             wrong[2].to_string(),
             "provisions.guarantees.drain: found 'soon', expected a time such as 1500ms or 2.5s"
         );
-        assert_eq!(Machine::read("[self").expect_err("no TOML")[0].place, "line 1");
+        assert_eq!(
+            Machine::read("[self").expect_err("no TOML")[0].place,
+            "line 1"
+        );
     }
 }
--- a/crates/config/src/place.rs
+++ b/crates/config/src/place.rs
@@ -12,14 +12,26 @@
 }
 
 impl Complaint {
-    pub fn new(place: impl Into<String>, found: impl Into<String>, expected: impl Into<String>) -> Complaint {
-        Complaint { place: place.into(), found: found.into(), expected: expected.into() }
+    pub fn new(
+        place: impl Into<String>,
+        found: impl Into<String>,
+        expected: impl Into<String>,
+    ) -> Complaint {
+        Complaint {
+            place: place.into(),
+            found: found.into(),
+            expected: expected.into(),
+        }
     }
 }
 
 impl fmt::Display for Complaint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: found {}, expected {}", self.place, self.found, self.expected)
+        write!(
+            f,
+            "{}: found {}, expected {}",
+            self.place, self.found, self.expected
+        )
     }
 }
 
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -31,9 +31,17 @@
 }
 
 impl Sources {
-    pub(crate) fn new(text: &Arc<str>, routes: impl Iterator<Item = (Range<usize>, Arc<Route>)>) -> Sources {
-        let routes = routes.map(|(range, route)| (hash(&text[range.clone()]), (range, route))).collect();
-        Sources { text: text.clone(), routes }
+    pub(crate) fn new(
+        text: &Arc<str>,
+        routes: impl Iterator<Item = (Range<usize>, Arc<Route>)>,
+    ) -> Sources {
+        let routes = routes
+            .map(|(range, route)| (hash(&text[range.clone()]), (range, route)))
+            .collect();
+        Sources {
+            text: text.clone(),
+            routes,
+        }
     }
 
     /// What was read from this very text.
@@ -44,7 +52,10 @@
 
     /// Of the routes whose texts stand there, those that are known.
     pub(crate) fn known(&self, text: &str, places: &[Range<usize>]) -> Vec<Option<Arc<Route>>> {
-        places.iter().map(|range| self.find(&text[range.clone()]).cloned()).collect()
+        places
+            .iter()
+            .map(|range| self.find(&text[range.clone()]).cloned())
+            .collect()
     }
 }
 
@@ -82,7 +93,10 @@
     while at < bytes.len() {
         let level = levels.last().copied();
         // An element of a list of routes begins.
-        if level == Some(Level::Regulations) && began.is_none() && !b" \t\r\n,]".contains(&bytes[at]) {
+        if level == Some(Level::Regulations)
+            && began.is_none()
+            && !b" \t\r\n,]".contains(&bytes[at])
+        {
             began = Some(at);
         }
         match bytes[at] {
@@ -93,7 +107,9 @@
                     at += if bytes[at] == b'\\' { 2 } else { 1 };
                 }
                 let name = text.get(from..at)?;
-                if std::mem::take(&mut name_next) && matches!(level, Some(Level::Root | Level::Wicket)) {
+                if std::mem::take(&mut name_next)
+                    && matches!(level, Some(Level::Root | Level::Wicket))
+                {
                     let (sought, met) = match level {
                         Some(Level::Root) => ("wickets", &mut wickets),
                         _ => ("regulations", &mut regulations),
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -92,6 +92,8 @@
 
     /// All routes with their hosts, in no order.
     pub fn all(&self) -> impl Iterator<Item = (&str, &Arc<Route>)> {
-        self.hosts.iter().flat_map(|(host, routes)| routes.values().map(move |r| (host.as_str(), r)))
+        self.hosts
+            .iter()
+            .flat_map(|(host, routes)| routes.values().map(move |r| (host.as_str(), r)))
     }
 }
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -19,10 +19,19 @@
     let wickets: Vec<String> = hosts
         .iter()
         .enumerate()
-        .map(|(i, routes)| format!(r#"{{"depot":"h{i}","regulations":[{}]}}"#, routes.join(",\n")))
+        .map(|(i, routes)| {
+            format!(
+                r#"{{"depot":"h{i}","regulations":[{}]}}"#,
+                routes.join(",\n")
+            )
+        })
         .collect();
     let fleet = |name| format!(r#"{{"name":"{name}","regulations":[0]}}"#);
-    let fleets = if chance.gen_bool(0.95) { fleet("a") + "," + &fleet("b") } else { fleet("a") };
+    let fleets = if chance.gen_bool(0.95) {
+        fleet("a") + "," + &fleet("b")
+    } else {
+        fleet("a")
+    };
     let body = format!(r#""wickets":[{}],"fleets":[{fleets}]"#, wickets.join(", "));
     format!(r#"{{"edition":{},{body}}}"#, chance.gen_range(1..9)).into()
 }
@@ -50,8 +59,13 @@
     let (mut sound, mut wrong) = (0, 0);
     for seed in 0..150 {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let mut hosts: Vec<Vec<String>> =
-            (0..3).map(|_| (0..chance.gen_range(0..6)).map(|_| route(&mut chance)).collect()).collect();
+        let mut hosts: Vec<Vec<String>> = (0..3)
+            .map(|_| {
+                (0..chance.gen_range(0..6))
+                    .map(|_| route(&mut chance))
+                    .collect()
+            })
+            .collect();
         let mut before: Option<Edition> = None;
         for _ in 0..20 {
             let host = chance.gen_range(0..3);
@@ -61,8 +75,15 @@
                 _ => hosts[host].push(route(&mut chance)),
             }
             let whole = text(&mut chance, &hosts);
-            let told = if chance.gen_bool(0.3) { spoil(&mut chance, &whole) } else { whole };
-            let (after, alone) = (Edition::read_after(&told, before.as_ref()), Edition::read(&told));
+            let told = if chance.gen_bool(0.3) {
+                spoil(&mut chance, &whole)
+            } else {
+                whole
+            };
+            let (after, alone) = (
+                Edition::read_after(&told, before.as_ref()),
+                Edition::read(&told),
+            );
             assert_eq!(after, alone, "seed {seed}: {told}");
             match after {
                 Ok(edition) => (sound, before) = (sound + 1, Some(edition)),
@@ -86,13 +107,23 @@
         format!(r#"{{"edition":1,{inner},"fleets":[{{"name":"a"}},{{"name":"b"}}]}}"#).into()
     };
     let (a, b) = (route("a"), route("b"));
-    let wickets =
-        |name: &str, routes: &str| format!(r#""{name}":[{{"depot":"h","regulations":[{routes}]}}]"#);
-    let before = Edition::read_after(&whole(&wickets("wickets", &format!("{a},{b}"))), None).expect("sound");
+    let wickets = |name: &str, routes: &str| {
+        format!(r#""{name}":[{{"depot":"h","regulations":[{routes}]}}]"#)
+    };
+    let before =
+        Edition::read_after(&whole(&wickets("wickets", &format!("{a},{b}"))), None).expect("sound");
     for inner in [
         format!("{},{}", wickets("wickets", &a), wickets("wickets", &b)),
-        format!("{},{}", wickets("wickets", &a), wickets("wi\\u0063kets", &b)),
-        format!("{},{}", wickets("wi\\u0063kets", &b), wickets("wickets", &a)),
+        format!(
+            "{},{}",
+            wickets("wickets", &a),
+            wickets("wi\\u0063kets", &b)
+        ),
+        format!(
+            "{},{}",
+            wickets("wi\\u0063kets", &b),
+            wickets("wickets", &a)
+        ),
         format!(r#""wickets":[{{"depot":"h","regulations":[{a}],"regulations":[{b}]}}]"#),
         format!(r#""wickets":[{{"depot":"h","regulations":[{a}],"regul\u0061tions":[{b}]}}]"#),
         wickets("wickets", &format!("{a}{b}")),
@@ -103,7 +134,11 @@
     ] {
         let text = whole(&inner);
         for before in [None, Some(&before)] {
-            assert_eq!(Edition::read_after(&text, before), Edition::read(&text), "{text}");
+            assert_eq!(
+                Edition::read_after(&text, before),
+                Edition::read(&text),
+                "{text}"
+            );
         }
     }
 }
--- a/crates/control-plane/src/codec.rs
+++ b/crates/control-plane/src/codec.rs
@@ -33,7 +33,11 @@
 
 impl fmt::Display for Unreadable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: found {}, expected {}", self.place, self.found, self.expected)
+        write!(
+            f,
+            "{}: found {}, expected {}",
+            self.place, self.found, self.expected
+        )
     }
 }
 
@@ -43,7 +47,12 @@
         found: impl Into<String>,
         expected: impl Into<String>,
     ) -> Unreadable {
-        Unreadable { place, found: found.into(), expected: expected.into(), newer: false }
+        Unreadable {
+            place,
+            found: found.into(),
+            expected: expected.into(),
+            newer: false,
+        }
     }
 }
 
@@ -74,23 +83,38 @@
         Some((&SQUEEZED, squeezed)) => {
             let value = delta::unsqueeze(squeezed, LONGEST);
             let found = || format!("{} bytes that can't be unpacked", bytes.len());
-            Ok(Form::Known(Cow::Owned(value.ok_or_else(|| Unreadable::of(place, found(), "one"))?)))
+            Ok(Form::Known(Cow::Owned(
+                value.ok_or_else(|| Unreadable::of(place, found(), "one"))?,
+            )))
         }
         Some((&number, _)) if number < LEAST => Ok(Form::First(bytes)),
         Some((number, _)) => {
-            let (found, expected) = (format!("format {number}"), format!("format {PLAIN} or {SQUEEZED}"));
-            Err(Unreadable { newer: true, ..Unreadable::of(place, found, expected) })
+            let (found, expected) = (
+                format!("format {number}"),
+                format!("format {PLAIN} or {SQUEEZED}"),
+            );
+            Err(Unreadable {
+                newer: true,
+                ..Unreadable::of(place, found, expected)
+            })
         }
     }
 }
 
 /// What had no number in the first release, and has to have one now.
 pub fn unnumbered(place: &'static str) -> Unreadable {
-    Unreadable::of(place, "no format number", format!("format {PLAIN} or {SQUEEZED}"))
+    Unreadable::of(
+        place,
+        "no format number",
+        format!("format {PLAIN} or {SQUEEZED}"),
+    )
 }
 
 /// A value of which nothing is left over.
-pub fn whole<'a, T: Deserialize<'a>>(place: &'static str, bytes: &'a [u8]) -> Result<T, Unreadable> {
+pub fn whole<'a, T: Deserialize<'a>>(
+    place: &'static str,
+    bytes: &'a [u8],
+) -> Result<T, Unreadable> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
         Ok((_, rest)) => {
--- a/crates/control-plane/src/config_receiver.rs
+++ b/crates/control-plane/src/config_receiver.rs
@@ -56,7 +56,10 @@
             _ => None,
         };
         match old.and_then(|old| delta::apply(old, &told, LONGEST)) {
-            Some(text) => Taken::Whole(Kept { number: piece.number, text: text.into() }),
+            Some(text) => Taken::Whole(Kept {
+                number: piece.number,
+                text: text.into(),
+            }),
             None => Taken::Unfit,
         }
     }
--- a/crates/control-plane/src/config_sender.rs
+++ b/crates/control-plane/src/config_sender.rs
@@ -74,7 +74,12 @@
     /// The counter has in force what was newest when its link opened, or something newer.
     Current { link: u64 },
     /// An edition is in force there: bytes that were told, microseconds since it was agreed on here.
-    InForce { link: u64, number: u64, told: u32, after: Micros },
+    InForce {
+        link: u64,
+        number: u64,
+        told: u32,
+        after: Micros,
+    },
 }
 
 /// An edition as told to counters that hold a certain other one, in frames.
@@ -147,7 +152,16 @@
             Event::Opened { link, held } => {
                 self.drop(link);
                 let awaits = self.newest.as_ref().map(|n| n.number).filter(|n| *n > held);
-                self.feeds.insert(link, Feed { held, awaits, coming: None, refused: 0, queued: false });
+                self.feeds.insert(
+                    link,
+                    Feed {
+                        held,
+                        awaits,
+                        coming: None,
+                        refused: 0,
+                        queued: false,
+                    },
+                );
                 match awaits {
                     Some(_) => self.queue(link),
                     None => self.actions.push(Action::Current { link }),
@@ -176,8 +190,17 @@
 
     /// Bytes that are kept: texts, and what is made of them to be told.
     pub fn kept_bytes(&self) -> usize {
-        let texts = self.earlier.iter().chain(&self.newest).map(|k| k.text.len());
-        texts.sum::<usize>() + self.tellings.values().map(|t| t.length as usize).sum::<usize>()
+        let texts = self
+            .earlier
+            .iter()
+            .chain(&self.newest)
+            .map(|k| k.text.len());
+        texts.sum::<usize>()
+            + self
+                .tellings
+                .values()
+                .map(|t| t.length as usize)
+                .sum::<usize>()
     }
 
     /// Counters that don't have the newest edition in force.
@@ -187,7 +210,11 @@
     }
 
     fn edition(&mut self, now: Micros, kept: Kept) {
-        if self.newest.as_ref().is_some_and(|n| n.number >= kept.number) {
+        if self
+            .newest
+            .as_ref()
+            .is_some_and(|n| n.number >= kept.number)
+        {
             return;
         }
         self.earlier.extend(self.newest.replace(kept));
@@ -213,17 +240,27 @@
     }
 
     fn drop(&mut self, link: u64) {
-        if let Some(Feed { coming: Some(coming), .. }) = self.feeds.remove(&link) {
+        if let Some(Feed {
+            coming: Some(coming),
+            ..
+        }) = self.feeds.remove(&link)
+        {
             self.flying -= if coming.counted { coming.flying() } else { 0 };
         }
     }
 
     fn got(&mut self, now: Micros, link: u64, number: u64, upto: u32) {
-        let Some(coming) = self.feeds.get_mut(&link).and_then(|f| f.coming.as_mut()) else { return };
+        let Some(coming) = self.feeds.get_mut(&link).and_then(|f| f.coming.as_mut()) else {
+            return;
+        };
         if coming.telling.number != number || upto <= coming.got || upto > coming.sent {
             return;
         }
-        self.flying -= if coming.counted { (upto - coming.got) as usize } else { 0 };
+        self.flying -= if coming.counted {
+            (upto - coming.got) as usize
+        } else {
+            0
+        };
         (coming.got, coming.moved_at) = (upto, now);
         if !coming.counted {
             coming.counted = true;
@@ -233,19 +270,29 @@
     }
 
     fn holds(&mut self, now: Micros, link: u64, edition: u64) {
-        let Some(feed) = self.feeds.get_mut(&link) else { return };
+        let Some(feed) = self.feeds.get_mut(&link) else {
+            return;
+        };
         if let Some(coming) = feed.coming.take() {
             self.flying -= if coming.counted { coming.flying() } else { 0 };
             let number = coming.telling.number;
             if edition == number {
                 let after = now.saturating_sub(self.newest_at);
-                self.actions.push(Action::InForce { link, number, told: coming.telling.length, after });
+                self.actions.push(Action::InForce {
+                    link,
+                    number,
+                    told: coming.telling.length,
+                    after,
+                });
             } else if edition < number && (coming.from == 0 || edition != 0) {
                 feed.refused = number;
             }
         }
         feed.held = edition;
-        if feed.awaits.is_some_and(|awaited| edition.max(feed.refused) >= awaited) {
+        if feed
+            .awaits
+            .is_some_and(|awaited| edition.max(feed.refused) >= awaited)
+        {
             feed.awaits = None;
             self.actions.push(Action::Current { link });
         }
@@ -255,7 +302,9 @@
     /// What stalled counters don't acknowledge takes no room from the others any more.
     fn stalled(&mut self, now: Micros) {
         for feed in self.feeds.values_mut() {
-            let Some(coming) = &mut feed.coming else { continue };
+            let Some(coming) = &mut feed.coming else {
+                continue;
+            };
             if coming.counted && coming.flying() > 0 && now >= coming.moved_at + STALLED {
                 coming.counted = false;
                 self.flying -= coming.flying();
@@ -266,7 +315,9 @@
     /// Sends what may be sent, by turns.
     fn pump(&mut self, now: Micros) {
         while self.flying < WINDOW_OF_ALL {
-            let Some(link) = self.turns.pop_front() else { return };
+            let Some(link) = self.turns.pop_front() else {
+                return;
+            };
             if self.piece(now, link) {
                 self.turns.push_back(link);
             } else if let Some(feed) = self.feeds.get_mut(&link) {
@@ -277,8 +328,12 @@
 
     /// Sends the next piece to a counter; whether another one may follow.
     fn piece(&mut self, now: Micros, link: u64) -> bool {
-        let Some(newest) = self.newest.as_ref().map(|n| n.number) else { return false };
-        let Some(feed) = self.feeds.get(&link) else { return false };
+        let Some(newest) = self.newest.as_ref().map(|n| n.number) else {
+            return false;
+        };
+        let Some(feed) = self.feeds.get(&link) else {
+            return false;
+        };
         let begins = feed.coming.is_none();
         if begins && (feed.held >= newest || feed.refused >= newest) {
             return false;
@@ -286,10 +341,22 @@
         if begins {
             let from = feed.held;
             let (from, telling) = self.telling(from);
-            let coming = Coming { telling, from, pieces: 0, sent: 0, got: 0, moved_at: now, counted: true };
+            let coming = Coming {
+                telling,
+                from,
+                pieces: 0,
+                sent: 0,
+                got: 0,
+                moved_at: now,
+                counted: true,
+            };
             self.feeds.get_mut(&link).expect("just seen").coming = Some(coming);
         }
-        let coming = self.feeds.get_mut(&link).and_then(|f| f.coming.as_mut()).expect("just begun");
+        let coming = self
+            .feeds
+            .get_mut(&link)
+            .and_then(|f| f.coming.as_mut())
+            .expect("just begun");
         if coming.is_sent() || coming.flying() >= WINDOW || !coming.counted {
             return false;
         }
@@ -297,7 +364,10 @@
         self.flying += (end - coming.sent) as usize;
         coming.pieces += 1;
         (coming.sent, coming.moved_at) = (*end, now);
-        self.actions.push(Action::Send { link, frame: frame.clone() });
+        self.actions.push(Action::Send {
+            link,
+            frame: frame.clone(),
+        });
         !coming.is_sent() && coming.flying() < WINDOW
     }
 
@@ -320,9 +390,22 @@
         let length = told.len() as u32;
         let frames = told.chunks(PIECE).enumerate().map(|(i, bytes)| {
             let at = (i * PIECE) as u32;
-            let word = Down::Piece(Piece { number, from, length, at, bytes: bytes.to_vec() });
-            (at + bytes.len() as u32, Bytes::from(messages::frame(&Fenced { term, word })))
+            let word = Down::Piece(Piece {
+                number,
+                from,
+                length,
+                at,
+                bytes: bytes.to_vec(),
+            });
+            (
+                at + bytes.len() as u32,
+                Bytes::from(messages::frame(&Fenced { term, word })),
+            )
         });
-        Telling { number, length, frames: frames.collect() }
+        Telling {
+            number,
+            length,
+            frames: frames.collect(),
+        }
     }
 }
--- a/crates/control-plane/src/controller_client.rs
+++ b/crates/control-plane/src/controller_client.rs
@@ -191,8 +191,19 @@
             }
             Event::Closed => {
                 // A leader that was held is asked once more first: a connection may break for its own reasons.
-                self.hint = self.hint.or(if let Link::Held(to) = self.link { Some(to) } else { None });
-                self.let_go(now, if matches!(self.link, Link::Held(_)) { 0 } else { ASK_AGAIN });
+                self.hint = self.hint.or(if let Link::Held(to) = self.link {
+                    Some(to)
+                } else {
+                    None
+                });
+                self.let_go(
+                    now,
+                    if matches!(self.link, Link::Held(_)) {
+                        0
+                    } else {
+                        ASK_AGAIN
+                    },
+                );
             }
             Event::Heard(told) => {
                 self.heard_at = now;
@@ -233,7 +244,9 @@
     }
 
     fn heard(&mut self, now: Micros, told: &Fenced<Down>, actions: &mut Vec<Action>) {
-        let (Link::Up(asked) | Link::Held(asked)) = self.link else { return };
+        let (Link::Up(asked) | Link::Held(asked)) = self.link else {
+            return;
+        };
         let past = told.term < self.term;
         if let Down::Elsewhere { leader, core } = &told.word {
             // Places to ask at, from a machine that may be behind or ahead of all others: what it says moves no term, and
@@ -252,14 +265,22 @@
         }
         (self.term, self.spoken) = (told.term, Some(told.term));
         match &told.word {
-            Down::Welcome { core, counters, asked: at } => {
+            Down::Welcome {
+                core,
+                counters,
+                asked: at,
+            } => {
                 self.learn(core);
                 (self.link, self.hint, self.report_at) = (Link::Held(asked), None, now);
                 self.led_at = self.led_at.max(Some((*at).min(now)));
                 self.confirmed_at = self.confirmed_at.max(self.led_at);
                 self.counters = (*counters).max(1);
             }
-            Down::Beat { counters, asked: at, edition } => {
+            Down::Beat {
+                counters,
+                asked: at,
+                edition,
+            } => {
                 self.led_at = self.led_at.max(Some((*at).min(now)));
                 self.counters = (*counters).max(1);
                 // A beat goes before what is bulky: it confirms all only where nothing of that is still to come.
--- a/crates/control-plane/src/deduplication.rs
+++ b/crates/control-plane/src/deduplication.rs
@@ -62,7 +62,11 @@
 impl Witness {
     /// At `now` on the steady clock it is `day`, microseconds since 1970.
     pub fn new(now: Micros, day: Micros) -> Witness {
-        Witness { started: now, began: day, seen: BTreeMap::new() }
+        Witness {
+            started: now,
+            began: day,
+            seen: BTreeMap::new(),
+        }
     }
 
     /// The records have changed: orders that are new in them are taken now; what is no longer in them is forgotten.
@@ -71,7 +75,12 @@
             .orders
             .values()
             .flatten()
-            .map(|taken| (taken.order, self.seen.get(&taken.order).copied().unwrap_or(now)))
+            .map(|taken| {
+                (
+                    taken.order,
+                    self.seen.get(&taken.order).copied().unwrap_or(now),
+                )
+            })
             .collect();
         self.seen = kept;
     }
@@ -105,6 +114,12 @@
             Some(taken) => taken.order,
             None => 0,
         };
-        Some(Command::Order { service: service.into(), to: to.into(), within, after, at: day })
+        Some(Command::Order {
+            service: service.into(),
+            to: to.into(),
+            within,
+            after,
+            at: day,
+        })
     }
 }
--- a/crates/control-plane/src/delta.rs
+++ b/crates/control-plane/src/delta.rs
@@ -40,7 +40,11 @@
     let mut decoder = Decoder::with_ref_prefix(told, old.as_bytes()).ok()?;
     decoder.window_log_max(WIDEST).ok()?;
     let mut new = Vec::new();
-    decoder.by_ref().take(most as u64 + 1).read_to_end(&mut new).ok()?;
+    decoder
+        .by_ref()
+        .take(most as u64 + 1)
+        .read_to_end(&mut new)
+        .ok()?;
     (new.len() <= most).then_some(())?;
     String::from_utf8(new).ok()
 }
@@ -62,6 +66,10 @@
 /// What [`squeeze`] was given; none where that can't be had or is more than `most` bytes.
 pub fn unsqueeze(squeezed: &[u8], most: usize) -> Option<Vec<u8>> {
     let mut whole = Vec::new();
-    Decoder::new(squeezed).ok()?.take(most as u64 + 1).read_to_end(&mut whole).ok()?;
+    Decoder::new(squeezed)
+        .ok()?
+        .take(most as u64 + 1)
+        .read_to_end(&mut whole)
+        .ok()?;
     (whole.len() <= most).then_some(whole)
 }
--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -231,13 +231,17 @@
 /// Takes the next frame's message off the front of `bytes`. `Ok(None)` while it is not whole; an error says that
 /// what came is no message, and nothing after it can be read.
 pub fn unframe<T: for<'a> Deserialize<'a>>(bytes: &mut Vec<u8>) -> Result<Option<T>, Unreadable> {
-    let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
+    let Some(head) = bytes.first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_le_bytes(*head) as usize;
     if length > LONGEST {
         let (found, expected) = (format!("{length} bytes"), format!("at most {LONGEST}"));
         return Err(Unreadable::of(FRAME, found, expected));
     }
-    let Some(told) = bytes.get(4..4 + length) else { return Ok(None) };
+    let Some(told) = bytes.get(4..4 + length) else {
+        return Ok(None);
+    };
     let message = match codec::open(FRAME, told)? {
         Form::First(_) => return Err(codec::unnumbered(FRAME)),
         Form::Known(value) => codec::whole(FRAME, &value)?,
--- a/crates/control-plane/src/proxy_registry.rs
+++ b/crates/control-plane/src/proxy_registry.rs
@@ -95,7 +95,10 @@
     pub fn leads_in(&mut self, term: Option<u64>) -> bool {
         let new = self.term != term;
         if new {
-            *self = Roster { term, ..Roster::default() };
+            *self = Roster {
+                term,
+                ..Roster::default()
+            };
         }
         new
     }
@@ -115,7 +118,8 @@
         if counter.life != hello.life {
             let evidence = std::mem::take(&mut counter.evidence);
             self.past.extend(evidence.into_values());
-            self.past.retain(|e| e.phase.is_some() || !e.totals.is_empty());
+            self.past
+                .retain(|e| e.phase.is_some() || !e.totals.is_empty());
         }
         *counter = Counter {
             zone: hello.zone.clone(),
@@ -135,7 +139,9 @@
             self.closed(link);
             return false;
         }
-        let Some(counter) = self.counters.values_mut().find(|c| c.link == Some(link)) else { return true };
+        let Some(counter) = self.counters.values_mut().find(|c| c.link == Some(link)) else {
+            return true;
+        };
         (counter.heard_at, counter.edition, counter.asked) = (now, report.edition, report.at);
         for told in report.evidence {
             counter.evidence.insert(told.service.to_string(), told);
@@ -145,17 +151,23 @@
 
     /// Links and, on each counter's own clock, when it sent what was last heard of it.
     pub fn asked(&self) -> impl Iterator<Item = (u64, Micros)> + '_ {
-        self.counters.values().filter_map(|c| Some((c.link?, c.asked)))
+        self.counters
+            .values()
+            .filter_map(|c| Some((c.link?, c.asked)))
     }
 
     /// A link has ended.
     pub fn closed(&mut self, link: u64) {
-        self.counters.values_mut().filter(|c| c.link == Some(link)).for_each(|c| c.link = None);
+        self.counters
+            .values_mut()
+            .filter(|c| c.link == Some(link))
+            .for_each(|c| c.link = None);
     }
 
     /// How many counters there are, for sums that each holds a part of: those that may come back count too.
     pub fn count(&mut self, now: Micros) -> u32 {
-        self.counters.retain(|_, c| !c.away(now) || now < c.heard_at + FORGOTTEN);
+        self.counters
+            .retain(|_, c| !c.away(now) || now < c.heard_at + FORGOTTEN);
         self.counters.len() as u32
     }
 
@@ -166,7 +178,10 @@
     /// What all have seen of one order.
     pub fn pooled(&self, service: &str, order: u64) -> Pooled {
         let mut pooled = Pooled::default();
-        let present = self.counters.values().filter_map(|c| c.evidence.get(service));
+        let present = self
+            .counters
+            .values()
+            .filter_map(|c| c.evidence.get(service));
         for evidence in present.chain(self.past.iter().filter(|e| &*e.service == service)) {
             if evidence.order != order {
                 continue;
@@ -185,7 +200,9 @@
             pooled.on += u32::from(evidence.vote == Vote::On);
             for (route, arms) in &evidence.totals {
                 let sums = pooled.routes.entry(*route).or_default();
-                sums.iter_mut().zip(arms).for_each(|(sum, arm)| sum.add(arm));
+                sums.iter_mut()
+                    .zip(arms)
+                    .for_each(|(sum, arm)| sum.add(arm));
             }
         }
         pooled
@@ -197,7 +214,9 @@
         let (mut under_way, mut unheard) = (0, 0);
         for counter in self.counters.values().filter(|c| !c.away(now)) {
             match counter.evidence.get(service).filter(|e| e.order == order) {
-                Some(e) if e.phase == Some(crate::state_machine::Phase::Moving) => under_way += e.under_way,
+                Some(e) if e.phase == Some(crate::state_machine::Phase::Moving) => {
+                    under_way += e.under_way
+                }
                 _ => unheard += 1,
             }
         }
--- a/crates/control-plane/src/state_machine.rs
+++ b/crates/control-plane/src/state_machine.rs
@@ -84,15 +84,29 @@
     /// A configuration; without effect unless its number is the highest.
     Replace(Kept),
     /// An order to move a service, as the first release proposed it; only read from its logs.
-    Begin { service: String, to: String, within: u64 },
+    Begin {
+        service: String,
+        to: String,
+        within: u64,
+    },
     /// A rollout gets on; without effect unless it is this order's and the step is one that may follow.
-    Advance { service: String, order: u64, phase: Phase },
+    Advance {
+        service: String,
+        order: u64,
+        phase: Phase,
+    },
     /// A service was seen with one version alone; without effect if one is known.
     Stands { service: String, version: String },
     /// An order to move a service. `after` is the place of the last order of the same content that the proposer held for
     /// another one, as its time was over; 0 if none. So two copies of one order never both begin, whoever proposes them
     /// and whenever they are agreed on. `at` is the proposer's time of day, in microseconds since 1970.
-    Order { service: String, to: String, within: u64, after: u64, at: u64 },
+    Order {
+        service: String,
+        to: String,
+        within: u64,
+        after: u64,
+        at: u64,
+    },
 }
 
 /// What a command did.
@@ -136,15 +150,47 @@
     pub fn apply(&mut self, index: u64, command: &Command) -> Effect {
         match command {
             Command::Replace(kept) => self.replace(kept),
-            Command::Begin { service, to, within } => {
+            Command::Begin {
+                service,
+                to,
+                within,
+            } => {
                 // The first release took an order for another one unless it was under way.
-                self.order(service, Taken { to: to.clone(), within: *within, order: index, at: 0 }, index)
+                self.order(
+                    service,
+                    Taken {
+                        to: to.clone(),
+                        within: *within,
+                        order: index,
+                        at: 0,
+                    },
+                    index,
+                )
             }
-            Command::Order { service, to, within, after, at } => {
-                self.order(service, Taken { to: to.clone(), within: *within, order: index, at: *at }, *after)
-            }
-            Command::Advance { service, order, phase } => {
-                let Some(standing) = self.services.get_mut(service) else { return Effect::None };
+            Command::Order {
+                service,
+                to,
+                within,
+                after,
+                at,
+            } => self.order(
+                service,
+                Taken {
+                    to: to.clone(),
+                    within: *within,
+                    order: index,
+                    at: *at,
+                },
+                *after,
+            ),
+            Command::Advance {
+                service,
+                order,
+                phase,
+            } => {
+                let Some(standing) = self.services.get_mut(service) else {
+                    return Effect::None;
+                };
                 let Some(rollout) = standing.rollout.as_mut().filter(|r| r.order == *order) else {
                     return Effect::None;
                 };
@@ -197,7 +243,11 @@
             return effect;
         }
         self.remember(kept.number, digest);
-        if self.edition.as_ref().is_some_and(|held| held.number > kept.number) {
+        if self
+            .edition
+            .as_ref()
+            .is_some_and(|held| held.number > kept.number)
+        {
             return Effect::Idle;
         }
         self.edition = Some(kept.clone());
@@ -215,7 +265,11 @@
 
     /// The last order of this content that was taken.
     pub fn taken(&self, service: &str, to: &str, within: u64) -> Option<&Taken> {
-        self.orders.get(service)?.iter().rev().find(|t| t.to == to && t.within == within)
+        self.orders
+            .get(service)?
+            .iter()
+            .rev()
+            .find(|t| t.to == to && t.within == within)
     }
 
     /// The rollout of the service that is under way.
@@ -225,7 +279,9 @@
     }
 
     fn order(&mut self, service: &str, order: Taken, after: u64) -> Effect {
-        let before = self.taken(service, &order.to, order.within).map(|t| t.order);
+        let before = self
+            .taken(service, &order.to, order.within)
+            .map(|t| t.order);
         match self.under_way(service) {
             // Whoever asks for what is under way has it, however long ago that was ordered.
             Some(r) if (&r.to, r.within) == (&order.to, order.within) => return Effect::Again,
@@ -242,8 +298,15 @@
             return Effect::Idle;
         }
         standing.barred.retain(|v| *v != order.to);
-        let Taken { to, within, order, .. } = order;
-        standing.rollout = Some(Rollout { to, within, phase: Phase::Trial, order });
+        let Taken {
+            to, within, order, ..
+        } = order;
+        standing.rollout = Some(Rollout {
+            to,
+            within,
+            phase: Phase::Trial,
+            order,
+        });
         Effect::Service
     }
 
@@ -275,14 +338,31 @@
 impl From<FirstRecords> for Records {
     /// What the first release had acknowledged under lower numbers is not known.
     fn from(first: FirstRecords) -> Records {
-        let mut records = Records { edition: first.edition, services: first.services, ..Records::default() };
+        let mut records = Records {
+            edition: first.edition,
+            services: first.services,
+            ..Records::default()
+        };
         if let Some(held) = &records.edition {
-            records.documents.insert(held.number, Digest::of(&held.text));
+            records
+                .documents
+                .insert(held.number, Digest::of(&held.text));
             records.known_from = held.number;
         }
         for (service, standing) in &records.services {
-            if let Some(Rollout { to, within, order, .. }) = standing.rollout.clone() {
-                records.orders.insert(service.clone(), vec![Taken { to, within, order, at: 0 }]);
+            if let Some(Rollout {
+                to, within, order, ..
+            }) = standing.rollout.clone()
+            {
+                records.orders.insert(
+                    service.clone(),
+                    vec![Taken {
+                        to,
+                        within,
+                        order,
+                        at: 0,
+                    }],
+                );
             }
         }
         records
--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -8,14 +8,29 @@
     let mut records = Records::default();
     let texts = [(7, "{\"edition\":7}")];
     for (index, (number, text)) in (1..).zip(texts) {
-        records.apply(index, &Command::Replace(Kept { number, text: text.into() }));
+        records.apply(
+            index,
+            &Command::Replace(Kept {
+                number,
+                text: text.into(),
+            }),
+        );
     }
-    records.apply(2, &Command::Stands { service: "calendar".into(), version: "v1".into() });
+    records.apply(
+        2,
+        &Command::Stands {
+            service: "calendar".into(),
+            version: "v1".into(),
+        },
+    );
     records
 }
 
 fn command() -> Command {
-    Command::Stands { service: "calendar".into(), version: "v1".into() }
+    Command::Stands {
+        service: "calendar".into(),
+        version: "v1".into(),
+    }
 }
 
 /// Guards against a release that misreads what a newer one wrote: it says what it found and what it knows.
@@ -27,11 +42,30 @@
     };
     let told = |wrong: Unreadable| (wrong.place, wrong.found, wrong.expected, wrong.newer);
     let wrong = told(Records::unpack(&raised(state().pack(), 0)).expect_err("newer"));
-    assert_eq!(wrong, ("snapshot's state", "format 18".into(), "format 16 or 17".into(), true));
+    assert_eq!(
+        wrong,
+        (
+            "snapshot's state",
+            "format 18".into(),
+            "format 16 or 17".into(),
+            true
+        )
+    );
     let wrong = told(Command::unpack(&raised(command().pack(), 0)).expect_err("newer"));
-    assert_eq!(wrong, ("command", "format 18".into(), "format 16 or 17".into(), true));
+    assert_eq!(
+        wrong,
+        (
+            "command",
+            "format 18".into(),
+            "format 16 or 17".into(),
+            true
+        )
+    );
     let wrong = unframe::<Opening>(&mut raised(frame(&Opening::View), 4)).expect_err("newer");
-    assert_eq!(told(wrong), ("frame", "format 18".into(), "format 16 or 17".into(), true));
+    assert_eq!(
+        told(wrong),
+        ("frame", "format 18".into(), "format 16 or 17".into(), true)
+    );
 }
 
 /// Guards against a frame of the first release, which had no number, that is taken for one of this.
@@ -41,7 +75,10 @@
     bytes.remove(4);
     bytes[0] -= 1;
     let wrong = unframe::<Opening>(&mut bytes).expect_err("no number");
-    assert_eq!((wrong.found.as_str(), wrong.newer), ("no format number", false));
+    assert_eq!(
+        (wrong.found.as_str(), wrong.newer),
+        ("no format number", false)
+    );
 }
 
 /// Guards against state that is cut short, or has bytes left over, and is read all the same: a member would go on with
@@ -50,7 +87,9 @@
 fn what_does_not_end_where_its_bytes_do_is_refused() {
     for bytes in [state().pack(), command().pack()] {
         for end in 0..bytes.len() {
-            assert!(Records::unpack(&bytes[..end]).is_err() && Command::unpack(&bytes[..end]).is_err());
+            assert!(
+                Records::unpack(&bytes[..end]).is_err() && Command::unpack(&bytes[..end]).is_err()
+            );
         }
     }
     let more = |mut bytes: Vec<u8>| {
@@ -70,11 +109,21 @@
 /// Guards long values: they are squeezed, cut short they are refused, and a few bytes don't become more than memory holds.
 #[test]
 fn long_values_are_squeezed_and_read_again() {
-    let text: String = (0..20_000).map(|i| format!("{{\"route\":\"r-{i}\"}},")).collect();
-    let command = Command::Replace(Kept { number: 7, text: text.as_str().into() });
+    let text: String = (0..20_000)
+        .map(|i| format!("{{\"route\":\"r-{i}\"}},"))
+        .collect();
+    let command = Command::Replace(Kept {
+        number: 7,
+        text: text.as_str().into(),
+    });
     let bytes = command.pack();
     assert_eq!(bytes[0], codec::SQUEEZED);
-    assert!(bytes.len() < text.len() / 4, "{} of {}", bytes.len(), text.len());
+    assert!(
+        bytes.len() < text.len() / 4,
+        "{} of {}",
+        bytes.len(),
+        text.len()
+    );
     assert_eq!(Command::unpack(&bytes), Ok(command));
     assert!(Command::unpack(&bytes[..bytes.len() / 2]).is_err());
     let bomb = codec::pack(&"z".repeat(65 << 20));
@@ -86,20 +135,43 @@
 fn forms_are_numbered_and_read_again() {
     let (state, command) = (state(), command());
     assert!(state.pack()[0] >= codec::LEAST && command.pack()[0] >= codec::LEAST);
-    assert_eq!((Records::unpack(&state.pack()), Command::unpack(&command.pack())), (Ok(state), Ok(command)));
+    assert_eq!(
+        (
+            Records::unpack(&state.pack()),
+            Command::unpack(&command.pack())
+        ),
+        (Ok(state), Ok(command))
+    );
 }
 
 /// Guards against commands and frames of the first release, which had neither number nor squeezing, that can't be read
 /// any more (its snapshots: `crates/gateway/tests/kept_store.rs`); and against bytes that begin like a squeezed value.
 #[test]
 fn what_the_first_release_packed_is_read() {
-    let long: String = (0..40_000u32).map(|i| char::from(b'a' + (i % 26) as u8)).collect();
+    let long: String = (0..40_000u32)
+        .map(|i| char::from(b'a' + (i % 26) as u8))
+        .collect();
     for text in ["", "{}", &long] {
-        let command = Command::Replace(Kept { number: 3, text: text.into() });
+        let command = Command::Replace(Kept {
+            number: 3,
+            text: text.into(),
+        });
         let before = postcard::to_stdvec(&command).expect("plain data can be written");
-        assert_eq!(Command::unpack(&before), Ok(command.clone()), "as packed before");
+        assert_eq!(
+            Command::unpack(&before),
+            Ok(command.clone()),
+            "as packed before"
+        );
         assert_eq!(Command::unpack(&command.pack()), Ok(command));
     }
-    assert!(Command::Replace(Kept { number: 3, text: long.into() }).pack().len() < 2000);
+    assert!(
+        Command::Replace(Kept {
+            number: 3,
+            text: long.into()
+        })
+        .pack()
+        .len()
+            < 2000
+    );
     assert!(Command::unpack(&[codec::SQUEEZED, 1, 2]).is_err());
 }
--- a/crates/control-plane/tests/config_sender.rs
+++ b/crates/control-plane/tests/config_sender.rs
@@ -9,11 +9,16 @@
 fn edition(number: u64) -> Kept {
     let mut random = 1u64;
     let line = |_| {
-        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        random = random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1);
         format!("{random:x}\n")
     };
     let text: String = (0..4000).map(line).collect();
-    Kept { number, text: format!("{number}\n{text}").into() }
+    Kept {
+        number,
+        text: format!("{number}\n{text}").into(),
+    }
 }
 
 /// The pieces that are sent by a step, and whether the counter counts as up to date.
@@ -22,7 +27,10 @@
     for action in feeds.step(0, event) {
         match action {
             Action::Send { frame, .. } => match unframe::<Fenced<Down>>(&mut frame.to_vec()) {
-                Ok(Some(Fenced { word: Down::Piece(piece), .. })) => pieces.push(piece),
+                Ok(Some(Fenced {
+                    word: Down::Piece(piece),
+                    ..
+                })) => pieces.push(piece),
                 other => panic!("{other:?}"),
             },
             Action::Current { .. } => current = true,
@@ -39,7 +47,17 @@
         let piece = sent.remove(0);
         let (number, upto) = (piece.number, piece.at + piece.bytes.len() as u32);
         got.push(piece);
-        sent.extend(pieces(feeds, Event::Got { link: 1, number, upto }).0);
+        sent.extend(
+            pieces(
+                feeds,
+                Event::Got {
+                    link: 1,
+                    number,
+                    upto,
+                },
+            )
+            .0,
+        );
     }
     got
 }
@@ -53,17 +71,46 @@
     let (sent, current) = pieces(&mut feeds, Event::Opened { link: 1, held: 0 });
     assert!(sent.len() > 1 && sent.len() <= 3 && !current);
     for number in 4..8 {
-        assert_eq!(feeds.step(0, Event::Edition(edition(number))), [], "nothing beside what is on its way");
+        assert_eq!(
+            feeds.step(0, Event::Edition(edition(number))),
+            [],
+            "nothing beside what is on its way"
+        );
     }
     let whole = all(&mut feeds, sent);
     assert!(whole.iter().all(|p| (p.number, p.from) == (3, 0)));
-    let (next, current) = pieces(&mut feeds, Event::Holds { link: 1, edition: 3 });
+    let (next, current) = pieces(
+        &mut feeds,
+        Event::Holds {
+            link: 1,
+            edition: 3,
+        },
+    );
     assert!(current, "it has what was newest when it came");
-    assert_eq!(next.iter().map(|p| (p.number, p.from)).collect::<Vec<_>>(), [(7, 3)]);
-    assert!(next[0].length < 200, "{} bytes for a change of one line", next[0].length);
+    assert_eq!(
+        next.iter().map(|p| (p.number, p.from)).collect::<Vec<_>>(),
+        [(7, 3)]
+    );
+    assert!(
+        next[0].length < 200,
+        "{} bytes for a change of one line",
+        next[0].length
+    );
     let mut intake = Intake::default();
-    assert_eq!(intake.take(Some(&edition(3)), &next[0]), Taken::Whole(edition(7)));
-    assert_eq!(pieces(&mut feeds, Event::Holds { link: 1, edition: 7 }), (vec![], false));
+    assert_eq!(
+        intake.take(Some(&edition(3)), &next[0]),
+        Taken::Whole(edition(7))
+    );
+    assert_eq!(
+        pieces(
+            &mut feeds,
+            Event::Holds {
+                link: 1,
+                edition: 7
+            }
+        ),
+        (vec![], false)
+    );
     assert_eq!((feeds.flying(), feeds.behind()), (0, 0));
 }
 
@@ -75,10 +122,26 @@
     feeds.step(0, Event::Edition(edition(4)));
     let (sent, _) = pieces(&mut feeds, Event::Opened { link: 1, held: 3 });
     assert_eq!((sent.len(), sent[0].from), (1, 3));
-    let (sent, _) = pieces(&mut feeds, Event::Holds { link: 1, edition: 0 });
+    let (sent, _) = pieces(
+        &mut feeds,
+        Event::Holds {
+            link: 1,
+            edition: 0,
+        },
+    );
     assert_eq!((sent[0].number, sent[0].from), (4, 0));
     all(&mut feeds, sent);
-    assert_eq!(pieces(&mut feeds, Event::Holds { link: 1, edition: 3 }), (vec![], true), "it stays with 3");
+    assert_eq!(
+        pieces(
+            &mut feeds,
+            Event::Holds {
+                link: 1,
+                edition: 3
+            }
+        ),
+        (vec![], true),
+        "it stays with 3"
+    );
     let (sent, _) = pieces(&mut feeds, Event::Edition(edition(5)));
     assert_eq!((sent[0].number, sent[0].from), (5, 3));
 }
@@ -95,12 +158,25 @@
     assert_eq!(intake.take(Some(&edition(9)), &sent[0]), Taken::Stale);
     assert_eq!(intake.take(None, &sent[1]), Taken::Unfit, "no beginning");
     assert_eq!(intake.take(None, &sent[0]), Taken::More(sent[1].at));
-    assert_eq!(intake.take(None, &Piece { number: 4, ..sent[1].clone() }), Taken::Unfit);
+    assert_eq!(
+        intake.take(
+            None,
+            &Piece {
+                number: 4,
+                ..sent[1].clone()
+            }
+        ),
+        Taken::Unfit
+    );
     assert_eq!(intake.take(None, &sent[1]), Taken::Unfit, "it begins anew");
     let last = sent.len() - 1;
     for (i, piece) in sent.iter().enumerate() {
         let taken = intake.take(Some(&edition(1)), piece);
-        let expected = if i == last { Taken::Whole(edition(3)) } else { Taken::More(sent[i + 1].at) };
+        let expected = if i == last {
+            Taken::Whole(edition(3))
+        } else {
+            Taken::More(sent[i + 1].at)
+        };
         assert_eq!(taken, expected);
     }
 }
--- a/crates/control-plane/tests/controller_client.rs
+++ b/crates/control-plane/tests/controller_client.rs
@@ -12,15 +12,35 @@
 }
 
 fn elsewhere(term: u64, leader: Option<SocketAddrV4>, core: &[SocketAddrV4]) -> Fenced<Down> {
-    Fenced { term, word: Down::Elsewhere { leader, core: core.to_vec() } }
+    Fenced {
+        term,
+        word: Down::Elsewhere {
+            leader,
+            core: core.to_vec(),
+        },
+    }
 }
 
 fn welcome(term: u64, asked: u64) -> Fenced<Down> {
-    Fenced { term, word: Down::Welcome { core: vec![at(1), at(2), at(3)], counters: 9, asked } }
+    Fenced {
+        term,
+        word: Down::Welcome {
+            core: vec![at(1), at(2), at(3)],
+            counters: 9,
+            asked,
+        },
+    }
 }
 
 fn beat(term: u64, asked: u64) -> Fenced<Down> {
-    Fenced { term, word: Down::Beat { counters: 9, asked, edition: 0 } }
+    Fenced {
+        term,
+        word: Down::Beat {
+            counters: 9,
+            asked,
+            edition: 0,
+        },
+    }
 }
 
 /// Held by the first machine in `term` from `now` on.
@@ -28,7 +48,10 @@
     let mut t = Tendril::new(now, vec![at(1), at(2), at(3)], 2);
     assert_eq!(t.step(now, Event::Tick), [Action::Dial(at(1))]);
     assert_eq!(t.step(now, Event::Opened), [Action::Hello]);
-    assert_eq!(t.step(now, Event::Heard(&welcome(term, now))), [Action::Take, Action::Report]);
+    assert_eq!(
+        t.step(now, Event::Heard(&welcome(term, now))),
+        [Action::Take, Action::Report]
+    );
     t
 }
 
@@ -38,10 +61,16 @@
     let mut t = Tendril::new(0, vec![at(1), at(2)], 1);
     assert_eq!(t.step(0, Event::Tick), [Action::Dial(at(1))]);
     // The first says nothing: it is given up in time, the second asked.
-    assert_eq!(t.step(UP_WITHIN, Event::Tick), [Action::HangUp, Action::Dial(at(2))]);
+    assert_eq!(
+        t.step(UP_WITHIN, Event::Tick),
+        [Action::HangUp, Action::Dial(at(2))]
+    );
     assert_eq!(t.step(UP_WITHIN + 1, Event::Opened), [Action::Hello]);
     let down = elsewhere(1, Some(at(5)), &[at(2), at(5)]);
-    assert_eq!(t.step(UP_WITHIN + 2, Event::Heard(&down)), [Action::HangUp, Action::Dial(at(5))]);
+    assert_eq!(
+        t.step(UP_WITHIN + 2, Event::Heard(&down)),
+        [Action::HangUp, Action::Dial(at(5))]
+    );
     t.step(UP_WITHIN + 3, Event::Opened);
     assert_eq!(
         t.step(UP_WITHIN + 4, Event::Heard(&welcome(1, UP_WITHIN + 3))),
@@ -56,7 +85,10 @@
     let mut t = Tendril::new(0, vec![at(1)], 0);
     assert_eq!(t.step(0, Event::Tick), [Action::Dial(at(1))]);
     t.reseed(vec![at(2)]);
-    assert_eq!(t.step(UP_WITHIN, Event::Tick), [Action::HangUp, Action::Dial(at(2))]);
+    assert_eq!(
+        t.step(UP_WITHIN, Event::Tick),
+        [Action::HangUp, Action::Dial(at(2))]
+    );
 }
 
 /// Guards against a counter that goes on as if in touch behind a cut that nothing reports.
@@ -70,11 +102,18 @@
     let mut now = 2;
     while now < 4_000_000 {
         now = t.next().max(now + 1);
-        asked.extend(t.step(now, Event::Tick).into_iter().filter(|a| matches!(a, Action::Dial(_))));
+        asked.extend(
+            t.step(now, Event::Tick)
+                .into_iter()
+                .filter(|a| matches!(a, Action::Dial(_))),
+        );
     }
     assert!(!t.holds(now) && t.adrift(now) > 2_500_000);
     for n in 1..=3 {
-        assert!(asked.contains(&Action::Dial(at(n))), "{n} was never asked: {asked:?}");
+        assert!(
+            asked.contains(&Action::Dial(at(n))),
+            "{n} was never asked: {asked:?}"
+        );
     }
 }
 
@@ -87,12 +126,18 @@
     let now = t.next();
     assert_eq!(t.step(now, Event::Tick), [Action::Dial(at(2))]);
     t.step(now, Event::Opened);
-    assert_eq!(t.step(now, Event::Heard(&welcome(3, now))), [Action::HangUp]);
+    assert_eq!(
+        t.step(now, Event::Heard(&welcome(3, now))),
+        [Action::HangUp]
+    );
     assert_eq!((t.term(), t.holds(now)), (4, false));
     let now = t.next();
     assert_eq!(t.step(now, Event::Tick), [Action::Dial(at(3))]);
     t.step(now, Event::Opened);
-    assert_eq!(t.step(now, Event::Heard(&welcome(5, now))), [Action::Take, Action::Report]);
+    assert_eq!(
+        t.step(now, Event::Heard(&welcome(5, now))),
+        [Action::Take, Action::Report]
+    );
     assert_eq!((t.term(), t.holds(now)), (5, true));
 }
 
@@ -113,10 +158,16 @@
     t.step(0, Event::Opened);
     t.step(0, Event::Heard(&elsewhere(9, Some(at(2)), &[])));
     t.step(0, Event::Opened);
-    assert_eq!(t.step(0, Event::Heard(&welcome(4, 0))), [Action::Take, Action::Report]);
+    assert_eq!(
+        t.step(0, Event::Heard(&welcome(4, 0))),
+        [Action::Take, Action::Report]
+    );
     t.step(1, Event::Closed);
     t.step(1, Event::Opened);
-    assert_eq!(t.step(1, Event::Heard(&elsewhere(3, Some(at(7)), &[at(7)]))), [Action::HangUp]);
+    assert_eq!(
+        t.step(1, Event::Heard(&elsewhere(3, Some(at(7)), &[at(7)]))),
+        [Action::HangUp]
+    );
     assert!(!t.core().contains(&at(7)) && t.next() > 1);
 }
 
@@ -138,7 +189,9 @@
     let mut hung_up = false;
     while !hung_up && now < 10_000_000 {
         now += 300_000;
-        hung_up = t.step(now, Event::Heard(&beat(4, 1_500_000))).contains(&Action::HangUp);
+        hung_up = t
+            .step(now, Event::Heard(&beat(4, 1_500_000)))
+            .contains(&Action::HangUp);
     }
     assert!(hung_up && now < 7_000_000, "{now}");
 }
--- a/crates/control-plane/tests/deduplication.rs
+++ b/crates/control-plane/tests/deduplication.rs
@@ -12,11 +12,21 @@
 
 /// A leader that got an order at 100 s on its steady clock, has it under way no longer, and saw it all.
 fn returned() -> (Records, Witness) {
-    let (mut records, mut witness) = (Records::default(), Witness::new(90 * SECOND, DAY - 10 * SECOND));
+    let (mut records, mut witness) = (
+        Records::default(),
+        Witness::new(90 * SECOND, DAY - 10 * SECOND),
+    );
     let command = look(&records, &witness, 100 * SECOND, DAY).expect("a new order");
     assert_eq!(records.apply(1, &command), Effect::Service);
     witness.applied(100 * SECOND, &records);
-    records.apply(2, &Command::Advance { service: "s".into(), order: 1, phase: Phase::Returned });
+    records.apply(
+        2,
+        &Command::Advance {
+            service: "s".into(),
+            order: 1,
+            phase: Phase::Returned,
+        },
+    );
     (records, witness)
 }
 
@@ -30,7 +40,9 @@
 fn by_the_steady_clock_of_who_saw_it(#[values(-3600, -1, 0, 1, 3600)] step: i64) {
     let (records, witness) = returned();
     let later = |span: Micros| {
-        let day = DAY.saturating_add(span).saturating_add_signed(step * SECOND as i64);
+        let day = DAY
+            .saturating_add(span)
+            .saturating_add_signed(step * SECOND as i64);
         look(&records, &witness, 100 * SECOND + span, day)
     };
     for span in [0, SECOND, RECEIPT, RECEIPT + TRAVEL] {
@@ -69,12 +81,21 @@
     let mut witness = Witness::new(1000 * SECOND, DAY + 3600 * SECOND);
     witness.applied(1000 * SECOND, &records);
     assert_eq!(look(&records, &witness, 1000 * SECOND + RECEIPT, DAY), None);
-    assert!(look(&records, &witness, 1000 * SECOND + RECEIPT + TRAVEL + 1, DAY).is_some());
+    assert!(look(
+        &records,
+        &witness,
+        1000 * SECOND + RECEIPT + TRAVEL + 1,
+        DAY
+    )
+    .is_some());
 }
 
 /// Guards against digests that operators can't compare with their own.
 #[test]
 fn a_digest_is_what_sha256sum_shows() {
     let shown = Digest::of("abc").to_string();
-    assert_eq!(shown, "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
+    assert_eq!(
+        shown,
+        "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"
+    );
 }
--- a/crates/control-plane/tests/delta.rs
+++ b/crates/control-plane/tests/delta.rs
@@ -5,9 +5,14 @@
 use rand::{Rng, SeedableRng};
 
 fn routes(chance: &mut rand_chacha::ChaCha8Rng, count: usize) -> Vec<String> {
-    let route =
-        |i| format!("{{\"name\":\"r-{i}\",\"sort\":\"safe\",\"target\":\"600ms\",\"prefix\":\"/é{i}/\"}}");
-    (0..count).map(|_| route(chance.gen_range(0..50_000))).collect()
+    let route = |i| {
+        format!(
+            "{{\"name\":\"r-{i}\",\"sort\":\"safe\",\"target\":\"600ms\",\"prefix\":\"/é{i}/\"}}"
+        )
+    };
+    (0..count)
+        .map(|_| route(chance.gen_range(0..50_000)))
+        .collect()
 }
 
 /// Guards against a configuration put together wrongly, and against changes that cost as much as a whole.
@@ -27,9 +32,22 @@
         }
         let new = list.join(",");
         let told = diff(&old, &new);
-        assert_eq!(apply(&old, &told, LONGEST).as_deref(), Some(&*new), "round {round}");
-        assert!(told.len() < 300, "round {round}: {} bytes of {}", told.len(), new.len());
-        assert_eq!(apply("", &diff("", &new), LONGEST).as_deref(), Some(&*new), "round {round}");
+        assert_eq!(
+            apply(&old, &told, LONGEST).as_deref(),
+            Some(&*new),
+            "round {round}"
+        );
+        assert!(
+            told.len() < 300,
+            "round {round}: {} bytes of {}",
+            told.len(),
+            new.len()
+        );
+        assert_eq!(
+            apply("", &diff("", &new), LONGEST).as_deref(),
+            Some(&*new),
+            "round {round}"
+        );
     }
     assert_eq!(apply("", &diff("", "abc"), LONGEST).as_deref(), Some("abc"));
     assert_eq!(apply("abc", &diff("abc", ""), LONGEST).as_deref(), Some(""));
@@ -43,11 +61,19 @@
     let old = routes(&mut chance, 60).join(",");
     let new = old.replace("600ms", "1.5s");
     let told = diff(&old, &new);
-    for other in ["", "short", &routes(&mut chance, 60).join(","), &old[..old.len() - 1]] {
+    for other in [
+        "",
+        "short",
+        &routes(&mut chance, 60).join(","),
+        &old[..old.len() - 1],
+    ] {
         assert_eq!(apply(other, &told, LONGEST), None);
     }
     // As long as the right one, and other in what is taken from it.
-    assert_eq!(apply(&old.replacen("safe", "sage", 30), &told, LONGEST), None);
+    assert_eq!(
+        apply(&old.replacen("safe", "sage", 30), &told, LONGEST),
+        None
+    );
     // What differs only where nothing is taken from makes the new text all the same, or nothing.
     assert!(apply(&old[1..], &told, LONGEST).is_none_or(|made| made == new));
     for cut in 0..told.len() {
--- a/crates/control-plane/tests/messages.rs
+++ b/crates/control-plane/tests/messages.rs
@@ -6,8 +6,18 @@
 #[test]
 fn frames_are_whole_or_wait_or_are_refused() {
     let (first, second) = (
-        Up::Report(Report { edition: 3, ..Report::default() }),
-        Fenced { term: 4, word: Down::Beat { counters: 9, asked: 5, edition: 0 } },
+        Up::Report(Report {
+            edition: 3,
+            ..Report::default()
+        }),
+        Fenced {
+            term: 4,
+            word: Down::Beat {
+                counters: 9,
+                asked: 5,
+                edition: 0,
+            },
+        },
     );
     let mut bytes = frame(&first);
     bytes.extend(frame(&second));
@@ -18,6 +28,9 @@
             read.extend(unframe::<Up>(&mut came).expect("ours"));
         }
     }
-    assert_eq!((read, unframe::<Fenced<Down>>(&mut came)), (vec![first], Ok(Some(second))));
+    assert_eq!(
+        (read, unframe::<Fenced<Down>>(&mut came)),
+        (vec![first], Ok(Some(second)))
+    );
     assert!(unframe::<Up>(&mut b"GET / HTTP/1.1".to_vec()).is_err());
 }
--- a/crates/control-plane/tests/narrow_links.rs
+++ b/crates/control-plane/tests/narrow_links.rs
@@ -111,8 +111,14 @@
             );
             let at = chance.gen_range(0..routes.len());
             routes[at] = routes[at].replace("\"tries\":2", "\"tries\":3");
-            let text = format!("{{\"edition\":{number},\"regulations\":[{}]}}", routes.join(","));
-            Kept { number, text: text.into() }
+            let text = format!(
+                "{{\"edition\":{number},\"regulations\":[{}]}}",
+                routes.join(",")
+            );
+            Kept {
+                number,
+                text: text.into(),
+            }
         })
         .collect()
 }
@@ -126,7 +132,10 @@
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let editions = editions(&mut chance);
         // None has come yet.
-        let none = || Counter { calm_since: 1000 * S, ..Counter::default() };
+        let none = || Counter {
+            calm_since: 1000 * S,
+            ..Counter::default()
+        };
         let counters = (0..COUNTERS).map(|_| none()).collect();
         let mut day = Day {
             way,
@@ -155,14 +164,23 @@
         day.at(7 * S, Then::Edition(1)); // the large one, and the storm
         (2..15).for_each(|i| day.at(7 * S + 330_000 * i as u64, Then::Edition(i)));
         for _ in 0..10 {
-            let (at, counter) = (day.chance.gen_range(5 * S..11 * S), day.chance.gen_range(0..COUNTERS));
+            let (at, counter) = (
+                day.chance.gen_range(5 * S..11 * S),
+                day.chance.gen_range(0..COUNTERS),
+            );
             let until = at + day.chance.gen_range(S / 10..4 * S);
             day.at(at, Then::Cut(counter, until));
-            let (at, counter) = (day.chance.gen_range(5 * S..11 * S), day.chance.gen_range(0..COUNTERS));
+            let (at, counter) = (
+                day.chance.gen_range(5 * S..11 * S),
+                day.chance.gen_range(0..COUNTERS),
+            );
             day.at(at, Then::Restarts(counter));
         }
         // A zone is cut off while the large edition is on its way.
-        let (at, until) = (day.chance.gen_range(7 * S..7 * S + 100_000), day.chance.gen_range(8 * S..12 * S));
+        let (at, until) = (
+            day.chance.gen_range(7 * S..7 * S + 100_000),
+            day.chance.gen_range(8 * S..12 * S),
+        );
         (0..29).for_each(|i| day.at(at, Then::Cut(3 * i, until)));
         let leads = day.chance.gen_range(7 * S..11 * S);
         day.at(leads, Then::Leads);
@@ -183,13 +201,19 @@
             }
             self.happens(then);
             if self.feeds.flying() > WINDOW_OF_ALL + WINDOW {
-                self.broken.push(format!("{} bytes of editions on their way", self.feeds.flying()));
+                self.broken.push(format!(
+                    "{} bytes of editions on their way",
+                    self.feeds.flying()
+                ));
             }
             if self.feeds.kept_bytes() > 5 << 20 {
-                self.broken.push(format!("{} bytes are kept", self.feeds.kept_bytes()));
+                self.broken
+                    .push(format!("{} bytes are kept", self.feeds.kept_bytes()));
             }
         }
-        self.broken.first().map(|b| format!("at {} ms: {b}", self.now / 1000))
+        self.broken
+            .first()
+            .map(|b| format!("at {} ms: {b}", self.now / 1000))
     }
 
     /// Bytes leave by the leader's link; when the last one has.
@@ -199,7 +223,9 @@
     }
 
     fn say(&mut self, link: u64, frame: Bytes, length: usize) {
-        let Some(&to) = self.links.get(&link) else { return };
+        let Some(&to) = self.links.get(&link) else {
+            return;
+        };
         let arrives = self.leaves(length);
         let counter = &mut self.counters[to];
         counter.free_at = counter.free_at.max(arrives) + length as u64 * S / DOWN;
@@ -219,9 +245,16 @@
 
     /// As editions were sent before: what has changed took twice the bytes that it takes now, a whole one its length.
     fn fifo(&mut self, link: u64, from: Option<&Kept>, edition: &Kept) {
-        let told = from.map(|f| 2 * magpieline_control_plane::delta::diff(&f.text, &edition.text).len());
+        let told =
+            from.map(|f| 2 * magpieline_control_plane::delta::diff(&f.text, &edition.text).len());
         let number = edition.number;
-        let down = said(Down::Piece(Piece { number, from: 0, length: 0, at: 0, bytes: Vec::new() }));
+        let down = said(Down::Piece(Piece {
+            number,
+            from: 0,
+            length: 0,
+            at: 0,
+            bytes: Vec::new(),
+        }));
         self.say(link, down, told.unwrap_or(edition.text.len()));
     }
 
@@ -236,20 +269,30 @@
                 }
                 let links: Vec<u64> = self.links.keys().copied().collect();
                 let before = i.checked_sub(1).map(|i| self.editions[i].clone());
-                links.into_iter().for_each(|link| self.fifo(link, before.as_ref(), &kept));
+                links
+                    .into_iter()
+                    .for_each(|link| self.fifo(link, before.as_ref(), &kept));
             }
             Then::Due(number) => {
                 for (i, counter) in self.counters.iter().enumerate() {
-                    let bound = self.now >= counter.calm_since.max(counter.cut_until) + IN_TOUCH_AFTER;
+                    let bound =
+                        self.now >= counter.calm_since.max(counter.cut_until) + IN_TOUCH_AFTER;
                     if bound && counter.held.as_ref().is_none_or(|k| k.number < number) {
-                        self.broken.push(format!("edition {number} is not in force at counter {i}"));
+                        self.broken
+                            .push(format!("edition {number} is not in force at counter {i}"));
                     }
                 }
             }
             Then::Beat => {
-                let beat = said(Down::Beat { counters: 88, asked: self.now, edition: 1 });
+                let beat = said(Down::Beat {
+                    counters: 88,
+                    asked: self.now,
+                    edition: 1,
+                });
                 let links: Vec<u64> = self.links.keys().copied().collect();
-                links.into_iter().for_each(|link| self.say(link, beat.clone(), beat.len()));
+                links
+                    .into_iter()
+                    .for_each(|link| self.say(link, beat.clone(), beat.len()));
                 self.feed(Event::Tick);
                 self.at(self.now + 300_000, Then::Beat);
             }
@@ -259,12 +302,18 @@
                 self.at(self.now + 100_000, Then::FollowersBeat);
             }
             Then::Followed(sent) if self.now > sent + FOLLOWERS_PATIENCE - 100_000 => {
-                self.broken.push(format!("a beat takes {} ms to followers", (self.now - sent) / 1000));
+                self.broken.push(format!(
+                    "a beat takes {} ms to followers",
+                    (self.now - sent) / 1000
+                ));
             }
             Then::Followed(_) => {}
             Then::Cut(counter, until) => self.counters[counter].cut_until = until,
             Then::Restarts(counter) => {
-                let anew = Counter { calm_since: self.now, ..Counter::default() };
+                let anew = Counter {
+                    calm_since: self.now,
+                    ..Counter::default()
+                };
                 let old = std::mem::replace(&mut self.counters[counter], anew);
                 self.counters[counter].free_at = old.free_at.min(self.now);
                 self.reopen(counter, old.link);
@@ -277,7 +326,9 @@
                 }
                 (self.feeds, self.up_free_at) = (feeds, self.now);
                 let links: Vec<(u64, usize)> = self.links.drain().collect();
-                links.into_iter().for_each(|(link, counter)| self.reopen(counter, link));
+                links
+                    .into_iter()
+                    .for_each(|(link, counter)| self.reopen(counter, link));
             }
             Then::Opens(counter) if self.counters[counter].cut_until > self.now => {
                 let until = self.counters[counter].cut_until;
@@ -304,7 +355,8 @@
                 if this.link != 0 && self.now >= this.heard_at + PATIENCE {
                     let link = std::mem::take(&mut this.link);
                     if self.now > this.cut_until + PATIENCE + 100_000 {
-                        self.broken.push(format!("counter {counter} lets go of a leader that stands"));
+                        self.broken
+                            .push(format!("counter {counter} lets go of a leader that stands"));
                     }
                     self.reopen(counter, link);
                 }
@@ -324,9 +376,12 @@
             Then::Arrives(to, link, frame) => {
                 self.waiting[to] = self.waiting[to].saturating_sub(frame.len());
                 if self.way == Way::Feeds && self.waiting[to] > WINDOW + 4096 {
-                    self.broken.push(format!("{} bytes wait for counter {to}", self.waiting[to]));
+                    self.broken
+                        .push(format!("{} bytes wait for counter {to}", self.waiting[to]));
                 }
-                let down = unframe::<Fenced<Down>>(&mut frame.to_vec()).expect("ours").expect("whole");
+                let down = unframe::<Fenced<Down>>(&mut frame.to_vec())
+                    .expect("ours")
+                    .expect("whole");
                 self.hears(to, link, down.word);
             }
             Then::Holds(counter, link, kept) if self.counters[counter].link == link => {
@@ -337,7 +392,8 @@
                     };
                 }
                 if self.editions[number as usize - 1] != kept {
-                    self.broken.push(format!("counter {counter} has another edition {number}"));
+                    self.broken
+                        .push(format!("counter {counter} has another edition {number}"));
                 }
                 this.held = Some(kept);
                 self.at(self.now + 1000, Then::Held(link, number));
@@ -352,9 +408,13 @@
         let this = &mut self.counters[counter];
         this.heard_at = self.now;
         let kept = match down {
-            Down::Piece(piece) if self.way == Way::Fifo => self.editions[piece.number as usize - 1].clone(),
+            Down::Piece(piece) if self.way == Way::Fifo => {
+                self.editions[piece.number as usize - 1].clone()
+            }
             Down::Piece(piece) => match this.intake.take(this.held.as_ref(), &piece) {
-                Taken::More(upto) => return self.at(self.now + 1000, Then::Got(link, piece.number, upto)),
+                Taken::More(upto) => {
+                    return self.at(self.now + 1000, Then::Got(link, piece.number, upto))
+                }
                 Taken::Whole(kept) => kept,
                 Taken::Stale => {
                     let held = this.held.as_ref().map_or(0, |k| k.number);
@@ -385,7 +445,10 @@
 /// Guards against what a large edition and those close behind it did on narrow links.
 #[test]
 fn editions_are_in_force_in_time_and_nothing_urgent_waits_behind_them() {
-    let seeds = std::env::var("NARROW_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(6);
+    let seeds = std::env::var("NARROW_SEEDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(6);
     for seed in 0..seeds {
         assert_eq!(Day::new(seed, Way::Feeds).play(), None, "seed {seed}");
     }
--- a/crates/control-plane/tests/state_machine.rs
+++ b/crates/control-plane/tests/state_machine.rs
@@ -8,15 +8,28 @@
 use rstest::rstest;
 
 fn replace(number: u64, text: &str) -> Command {
-    Command::Replace(Kept { number, text: text.into() })
+    Command::Replace(Kept {
+        number,
+        text: text.into(),
+    })
 }
 
 fn order(to: &str, after: u64) -> Command {
-    Command::Order { service: "s".into(), to: to.into(), within: 12_000_000, after, at: 1 }
+    Command::Order {
+        service: "s".into(),
+        to: to.into(),
+        within: 12_000_000,
+        after,
+        at: 1,
+    }
 }
 
 fn advance(order: u64, phase: Phase) -> Command {
-    Command::Advance { service: "s".into(), order, phase }
+    Command::Advance {
+        service: "s".into(),
+        order,
+        phase,
+    }
 }
 
 fn other(text: &str) -> Effect {
@@ -26,7 +39,11 @@
 /// Applies them from place 1 on.
 fn applied(commands: &[Command]) -> (Records, Vec<Effect>) {
     let mut records = Records::default();
-    let effects = commands.iter().zip(1..).map(|(command, index)| records.apply(index, command)).collect();
+    let effects = commands
+        .iter()
+        .zip(1..)
+        .map(|(command, index)| records.apply(index, command))
+        .collect();
     (records, effects)
 }
 
@@ -34,9 +51,23 @@
 /// documents that are both taken under one number.
 #[test]
 fn the_highest_edition_holds_whatever_the_order() {
-    let (records, effects) =
-        applied(&[replace(7, "a"), replace(5, "b"), replace(7, "c"), replace(9, "d"), replace(7, "a")]);
-    assert_eq!(effects, [Effect::Edition, Effect::Idle, other("a"), Effect::Edition, Effect::Again]);
+    let (records, effects) = applied(&[
+        replace(7, "a"),
+        replace(5, "b"),
+        replace(7, "c"),
+        replace(9, "d"),
+        replace(7, "a"),
+    ]);
+    assert_eq!(
+        effects,
+        [
+            Effect::Edition,
+            Effect::Idle,
+            other("a"),
+            Effect::Edition,
+            Effect::Again
+        ]
+    );
     assert_eq!(records.edition.as_ref().map(|k| &*k.text), Some("d"));
     assert_eq!(Records::unpack(&records.pack()), Ok(records));
 }
@@ -50,13 +81,20 @@
     assert_eq!(records.apply(5, &replace(8, "later")), other("late"));
     assert_eq!(records.apply(6, &replace(8, "late")), Effect::Again);
     let mut records = Records::unpack(&records.pack()).expect("readable");
-    assert_eq!(records.apply(7, &replace(8, "later")), other("late"), "after a snapshot as before");
+    assert_eq!(
+        records.apply(7, &replace(8, "later")),
+        other("late"),
+        "after a snapshot as before"
+    );
 }
 
 /// Guards against documents compared by what they mean: what is read back is what was acknowledged, byte for byte.
 #[test]
 fn documents_are_compared_by_their_bytes() {
-    let (_, effects) = applied(&[replace(7, r#"{"edition":7}"#), replace(7, r#"{"edition": 7}"#)]);
+    let (_, effects) = applied(&[
+        replace(7, r#"{"edition":7}"#),
+        replace(7, r#"{"edition": 7}"#),
+    ]);
     assert_eq!(effects[1], other(r#"{"edition":7}"#));
 }
 
@@ -75,17 +113,39 @@
     let commands: Vec<Command> = (1..=last).map(|n| replace(2 * n, "x")).collect();
     let (mut records, _) = applied(&commands);
     assert_eq!(records.documents.len(), MOST_DOCUMENTS);
-    assert!(records.pack().len() < 64 << 10, "{} bytes", records.pack().len());
+    assert!(
+        records.pack().len() < 64 << 10,
+        "{} bytes",
+        records.pack().len()
+    );
     for known in [2 * last, 2 * 11] {
-        assert_eq!(records.apply(9_000, &replace(known, "y")), other("x"), "number {known}");
+        assert_eq!(
+            records.apply(9_000, &replace(known, "y")),
+            other("x"),
+            "number {known}"
+        );
     }
     for lost in [1, 2, 2 * 10] {
-        assert_eq!(records.apply(9_001, &replace(lost, "x")), Effect::Idle, "number {lost}");
+        assert_eq!(
+            records.apply(9_001, &replace(lost, "x")),
+            Effect::Idle,
+            "number {lost}"
+        );
     }
-    assert_eq!(records.documents.len(), MOST_DOCUMENTS, "what is below is not taken up again");
+    assert_eq!(
+        records.documents.len(),
+        MOST_DOCUMENTS,
+        "what is below is not taken up again"
+    );
     // A number between, never used, is taken up and the lowest one goes.
-    assert_eq!(records.apply(9_002, &replace(2 * last - 1, "z")), Effect::Idle);
-    assert_eq!(records.apply(9_003, &replace(2 * last - 1, "y")), other("z"));
+    assert_eq!(
+        records.apply(9_002, &replace(2 * last - 1, "z")),
+        Effect::Idle
+    );
+    assert_eq!(
+        records.apply(9_003, &replace(2 * last - 1, "y")),
+        other("z")
+    );
     assert_eq!(records.documents.len(), MOST_DOCUMENTS);
 }
 
@@ -93,14 +153,36 @@
 #[test]
 fn a_rollout_takes_only_steps_that_may_follow_and_only_its_own() {
     let mut records = Records::default();
-    records.apply(1, &Command::Stands { service: "s".into(), version: "v1".into() });
+    records.apply(
+        1,
+        &Command::Stands {
+            service: "s".into(),
+            version: "v1".into(),
+        },
+    );
     records.apply(2, &order("v2", 0));
-    assert_eq!(records.apply(3, &order("v2", 0)), Effect::Again, "the same order again");
-    assert_eq!(records.apply(4, &advance(2, Phase::Delivered)), Effect::None, "no move before");
+    assert_eq!(
+        records.apply(3, &order("v2", 0)),
+        Effect::Again,
+        "the same order again"
+    );
+    assert_eq!(
+        records.apply(4, &advance(2, Phase::Delivered)),
+        Effect::None,
+        "no move before"
+    );
     records.apply(5, &advance(2, Phase::Returned));
-    assert_eq!(records.apply(6, &advance(2, Phase::Moving)), Effect::None, "decided");
+    assert_eq!(
+        records.apply(6, &advance(2, Phase::Moving)),
+        Effect::None,
+        "decided"
+    );
     records.apply(7, &order("v3", 0));
-    assert_eq!(records.apply(8, &advance(2, Phase::Moving)), Effect::None, "another order");
+    assert_eq!(
+        records.apply(8, &advance(2, Phase::Moving)),
+        Effect::None,
+        "another order"
+    );
     records.apply(9, &advance(7, Phase::Moving));
     records.apply(10, &advance(7, Phase::Delivered));
     let standing = &records.services["s"];
@@ -115,7 +197,13 @@
 #[case(Phase::Delivered)]
 fn an_order_sent_again_is_the_same_whatever_became_of_it(#[case] became: Phase) {
     let mut records = Records::default();
-    records.apply(1, &Command::Stands { service: "s".into(), version: "v1".into() });
+    records.apply(
+        1,
+        &Command::Stands {
+            service: "s".into(),
+            version: "v1".into(),
+        },
+    );
     records.apply(2, &order("v2", 0));
     records.apply(3, &advance(2, Phase::Moving));
     records.apply(4, &advance(2, became));
@@ -123,12 +211,20 @@
     assert_eq!(records.apply(5, &order("v2", 0)), Effect::Again);
     assert_eq!(records, before, "nothing changed");
     assert_eq!(records.apply(6, &order("v3", 0)), Effect::Service);
-    assert_eq!(records.apply(7, &order("v2", 0)), Effect::Again, "while another is under way, too");
+    assert_eq!(
+        records.apply(7, &order("v2", 0)),
+        Effect::Again,
+        "while another is under way, too"
+    );
     records.apply(8, &advance(6, Phase::Moving));
     records.apply(9, &advance(6, Phase::Delivered));
     let mut records = Records::unpack(&records.pack()).expect("readable");
     let before = records.clone();
-    assert_eq!(records.apply(10, &order("v2", 0)), Effect::Again, "and after a snapshot");
+    assert_eq!(
+        records.apply(10, &order("v2", 0)),
+        Effect::Again,
+        "and after a snapshot"
+    );
     assert_eq!(records, before);
 }
 
@@ -136,9 +232,13 @@
 /// that new one that both begin, proposed by leaders who both held the old one for over.
 #[test]
 fn an_order_whose_time_is_over_can_be_given_again_and_begins_once() {
-    let (mut records, effects) = applied(&[order("v2", 0), advance(1, Phase::Returned), order("v2", 1)]);
+    let (mut records, effects) =
+        applied(&[order("v2", 0), advance(1, Phase::Returned), order("v2", 1)]);
     assert_eq!(effects, [Effect::Service, Effect::Service, Effect::Service]);
-    assert_eq!(records.services["s"].rollout.as_ref().map(|r| r.order), Some(3));
+    assert_eq!(
+        records.services["s"].rollout.as_ref().map(|r| r.order),
+        Some(3)
+    );
     records.apply(4, &advance(3, Phase::Returned));
     assert_eq!(records.apply(5, &order("v2", 1)), Effect::Again);
     assert_eq!(records.apply(6, &order("v2", 3)), Effect::Service);
@@ -148,11 +248,33 @@
 #[test]
 fn another_order_is_refused_while_one_is_under_way() {
     let (mut records, _) = applied(&[order("v2", 0)]);
-    let under_way = Rollout { to: "v2".into(), within: 12_000_000, phase: Phase::Trial, order: 1 };
-    assert_eq!(records.apply(2, &order("v3", 0)), Effect::OtherRollout(under_way.clone()));
-    let sooner = Command::Order { service: "s".into(), to: "v2".into(), within: 1, after: 0, at: 1 };
-    assert_eq!(records.apply(3, &sooner), Effect::OtherRollout(under_way), "another term is another order");
-    assert_eq!(records.apply(4, &order("v2", 1)), Effect::Again, "however long ago it was ordered");
+    let under_way = Rollout {
+        to: "v2".into(),
+        within: 12_000_000,
+        phase: Phase::Trial,
+        order: 1,
+    };
+    assert_eq!(
+        records.apply(2, &order("v3", 0)),
+        Effect::OtherRollout(under_way.clone())
+    );
+    let sooner = Command::Order {
+        service: "s".into(),
+        to: "v2".into(),
+        within: 1,
+        after: 0,
+        at: 1,
+    };
+    assert_eq!(
+        records.apply(3, &sooner),
+        Effect::OtherRollout(under_way),
+        "another term is another order"
+    );
+    assert_eq!(
+        records.apply(4, &order("v2", 1)),
+        Effect::Again,
+        "however long ago it was ordered"
+    );
     // What was refused was not taken: it begins when it comes again and nothing is in its way.
     records.apply(5, &advance(1, Phase::Returned));
     assert_eq!(records.apply(6, &order("v3", 0)), Effect::Service);
@@ -163,7 +285,13 @@
 #[test]
 fn an_order_for_the_version_that_stands_is_taken_too() {
     let mut records = Records::default();
-    records.apply(1, &Command::Stands { service: "s".into(), version: "v1".into() });
+    records.apply(
+        1,
+        &Command::Stands {
+            service: "s".into(),
+            version: "v1".into(),
+        },
+    );
     assert_eq!(records.apply(2, &order("v1", 0)), Effect::Idle);
     records.apply(3, &order("v2", 0));
     assert_eq!(records.apply(4, &order("v1", 0)), Effect::Again);
@@ -179,7 +307,10 @@
     let mut records = Records::default();
     for n in 0..100 {
         let index = 2 * n + 1;
-        assert_eq!(records.apply(index, &order(&format!("v{n}"), 0)), Effect::Service);
+        assert_eq!(
+            records.apply(index, &order(&format!("v{n}"), 0)),
+            Effect::Service
+        );
         records.apply(index + 1, &advance(index, Phase::Returned));
     }
     assert_eq!(records.orders["s"].len(), MOST_ORDERS);
@@ -193,20 +324,48 @@
     let mut read = Records::unpack(&postcard::to_stdvec(&first).expect("plain")).expect("readable");
     assert_eq!(read.apply(4, &replace(7, "b")), other("a"));
     assert_eq!(read.apply(5, &replace(7, "a")), Effect::Again);
-    assert_eq!(read.apply(6, &replace(6, "c")), Effect::Idle, "not known whether it was taken");
+    assert_eq!(
+        read.apply(6, &replace(6, "c")),
+        Effect::Idle,
+        "not known whether it was taken"
+    );
     assert_eq!(read.apply(7, &order("v2", 0)), Effect::Again);
     records.apply(8, &order("v3", 0));
     let whole = records.pack();
-    assert!((1..whole.len()).all(|n| Records::unpack(&whole[..n]).is_err()), "a part of it is none");
+    assert!(
+        (1..whole.len()).all(|n| Records::unpack(&whole[..n]).is_err()),
+        "a part of it is none"
+    );
 }
 
 /// Guards against orders of the first release's log that are no longer read, or read as something else.
 #[test]
 fn an_order_of_the_first_release_is_read() {
-    let begin = Command::Begin { service: "s".into(), to: "v2".into(), within: 12_000_000 };
+    let begin = Command::Begin {
+        service: "s".into(),
+        to: "v2".into(),
+        within: 12_000_000,
+    };
     let stored = [&[1, 1, b's', 2, b'v', b'2'][..], &[128, 182, 220, 5]].concat();
     assert_eq!(Command::unpack(&stored), Ok(begin.clone()));
-    let (records, effects) = applied(&[begin.clone(), begin.clone(), advance(1, Phase::Returned), begin]);
-    assert_eq!(effects, [Effect::Service, Effect::Again, Effect::Service, Effect::Service], "as it did");
-    assert_eq!(records.services["s"].rollout.as_ref().map(|r| r.order), Some(4));
+    let (records, effects) = applied(&[
+        begin.clone(),
+        begin.clone(),
+        advance(1, Phase::Returned),
+        begin,
+    ]);
+    assert_eq!(
+        effects,
+        [
+            Effect::Service,
+            Effect::Again,
+            Effect::Service,
+            Effect::Service
+        ],
+        "as it did"
+    );
+    assert_eq!(
+        records.services["s"].rollout.as_ref().map(|r| r.order),
+        Some(4)
+    );
 }
--- a/crates/degradation/benches/door.rs
+++ b/crates/degradation/benches/door.rs
@@ -11,10 +11,19 @@
     <group name='read' share='0.9' least='0.2'/></level></levels></magpieline>";
 
 fn levels() -> Levels {
-    let groups: Vec<String> = ["pay", "hold", "read", "calendar"].map(str::to_owned).to_vec();
+    let groups: Vec<String> = ["pay", "hold", "read", "calendar"]
+        .map(str::to_owned)
+        .to_vec();
     let values = Schema::own().check(FILE).expect("a good file");
-    let ladder = Ladder::read(&values, &groups, false).expect("it makes sense").expect("levels");
-    let here = Installation { groups, benefits: vec![5.0, 3.0, 2.0, 1.0], accounts: 40, longest_back: 30.0 };
+    let ladder = Ladder::read(&values, &groups, false)
+        .expect("it makes sense")
+        .expect("levels");
+    let here = Installation {
+        groups,
+        benefits: vec![5.0, 3.0, 2.0, 1.0],
+        accounts: 40,
+        longest_back: 30.0,
+    };
     Levels::start(ladder, here, 0.0, 1, None)
 }
 
@@ -25,9 +34,21 @@
         black_box(levels.look(*now));
     }
     if levels.take(*now, i % 4, i % 40, 1.0) == Door::Go {
-        let fate = if i.is_multiple_of(200) { Fate::Late } else { Fate::InTime };
-        levels
-            .ended(*now, Ended { group: i % 4, fate: Some(fate), spent: 0.05, part: 0.1, waited: Some(0.0) });
+        let fate = if i.is_multiple_of(200) {
+            Fate::Late
+        } else {
+            Fate::InTime
+        };
+        levels.ended(
+            *now,
+            Ended {
+                group: i % 4,
+                fate: Some(fate),
+                spent: 0.05,
+                part: 0.1,
+                waited: Some(0.0),
+            },
+        );
     }
 }
 
@@ -38,7 +59,11 @@
         if held {
             levels.hold(now, "busy", 86_000.0, "bench").expect("held");
         }
-        let name = if held { "a hit within a level" } else { "a hit at full service" };
+        let name = if held {
+            "a hit within a level"
+        } else {
+            "a hit at full service"
+        };
         c.bench_function(name, |b| {
             b.iter(|| {
                 i += 1;
--- a/crates/degradation/src/admission.rs
+++ b/crates/degradation/src/admission.rs
@@ -152,7 +152,12 @@
     /// `benefits` by path group; so many accounts, those that have none included.
     pub fn new(benefits: &[f64], accounts: usize, now: f64, seed: u64) -> Admission {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let account = Account { come: 0.0, rate: 0.0, pass: 1.0, credit: 0.0 };
+        let account = Account {
+            come: 0.0,
+            rate: 0.0,
+            pass: 1.0,
+            credit: 0.0,
+        };
         let mut group = |benefit: &f64| Group {
             benefit: benefit.max(1e-9),
             cost: 0.0,
@@ -188,15 +193,20 @@
         rule: Option<&Rule>,
         stays: f64,
     ) -> Door {
-        let Some(g) = self.groups.get_mut(group) else { return Door::Go };
+        let Some(g) = self.groups.get_mut(group) else {
+            return Door::Go;
+        };
         let last = g.accounts.len() - 1;
         let a = &mut g.accounts[account.min(last)];
         a.come += 1.0;
         if !self.narrows || a.pass >= 1.0 {
             return Door::Go;
         }
-        let (pass, credit) =
-            if a.rate * self.span < FEW { (g.pass, &mut g.credit) } else { (a.pass, &mut a.credit) };
+        let (pass, credit) = if a.rate * self.span < FEW {
+            (g.pass, &mut g.credit)
+        } else {
+            (a.pass, &mut a.credit)
+        };
         *credit = (*credit + pass).min(2.0);
         if *credit >= 1.0 {
             *credit -= 1.0;
@@ -207,10 +217,18 @@
         if g.waiting < rule.waiting && at_most > 0.0 {
             g.waiting += 1;
             self.next += 1;
-            self.waiting.push_back(Waiting { number: self.next, group });
-            return Door::Wait { number: self.next, at_most };
+            self.waiting.push_back(Waiting {
+                number: self.next,
+                group,
+            });
+            return Door::Wait {
+                number: self.next,
+                at_most,
+            };
+        }
+        Door::Turned {
+            again_after: self.again_after(stays),
         }
-        Door::Turned { again_after: self.again_after(stays) }
     }
 
     /// When who is turned away may come back, spread.
@@ -223,9 +241,12 @@
         if self.waiting.is_empty() || signals.in_flight() > ROOM * signals.limit.value() {
             return None;
         }
-        let density = |w: &Waiting| self.groups[w.group].benefit / self.groups[w.group].cost.max(1e-6);
+        let density =
+            |w: &Waiting| self.groups[w.group].benefit / self.groups[w.group].cost.max(1e-6);
         let best = (0..self.waiting.len()).max_by(|i, j| {
-            density(&self.waiting[*i]).total_cmp(&density(&self.waiting[*j])).then(j.cmp(i))
+            density(&self.waiting[*i])
+                .total_cmp(&density(&self.waiting[*j]))
+                .then(j.cmp(i))
         })?;
         let waiting = self.waiting.remove(best)?;
         self.groups[waiting.group].waiting -= 1;
@@ -243,7 +264,9 @@
 
     /// A hit that was let in is over, after so many seconds.
     pub fn ended(&mut self, group: usize, fate: Fate, spent: f64) {
-        let Some(g) = self.groups.get_mut(group) else { return };
+        let Some(g) = self.groups.get_mut(group) else {
+            return;
+        };
         if matches!(fate, Fate::InTime | Fate::Late) && spent.is_finite() && spent >= 0.0 {
             let known = if g.cost > 0.0 { COSTS } else { 1.0 };
             g.cost += (spent - g.cost) / known;
@@ -258,8 +281,13 @@
         let narrows = level.is_some();
         if narrows && !self.narrows {
             let part = |signal| signals.value(now, signal).unwrap_or(0.0);
-            let spoilt = part(Signal::Late(None)) + part(Signal::Failed(None)) + part(Signal::Bounced(None));
-            self.budget = if first { FIRST } else { (1.0 - spoilt).max(BEGIN_LEAST) };
+            let spoilt =
+                part(Signal::Late(None)) + part(Signal::Failed(None)) + part(Signal::Bounced(None));
+            self.budget = if first {
+                FIRST
+            } else {
+                (1.0 - spoilt).max(BEGIN_LEAST)
+            };
             self.run = RUN_BEGIN;
             (self.outcomes, self.worth, self.spoilt) = (0.0, 0.0, 0.0);
         }
@@ -267,7 +295,11 @@
         self.narrows = narrows;
         let passed = now - self.stepped_at;
         let room: usize = level.map_or(0, |l| l.rules.iter().map(|r| r.waiting).sum());
-        signals.waiting = if room > 0 { self.waiting.len() as f64 / room as f64 } else { 0.0 };
+        signals.waiting = if room > 0 {
+            self.waiting.len() as f64 / room as f64
+        } else {
+            0.0
+        };
         if !begins && (0.0..STEP).contains(&passed) {
             return;
         }
@@ -310,7 +342,13 @@
         // A path group of which nothing is known yet costs what the others do.
         let known = self.groups.iter().filter(|g| g.cost > 0.0);
         let usual = known.clone().map(|g| g.cost).sum::<f64>() / (known.count() as f64).max(1.0);
-        let cost = |g: &Group| if g.cost > 0.0 { g.cost } else { usual.max(1e-6) };
+        let cost = |g: &Group| {
+            if g.cost > 0.0 {
+                g.cost
+            } else {
+                usual.max(1e-6)
+            }
+        };
         let work: Vec<f64> = self.groups.iter().map(|g| g.rate() * cost(g)).collect();
         let mut left = self.budget * work.iter().sum::<f64>();
         let mut shares: Vec<f64> = (0..work.len()).map(|g| rule(g).least).collect();
@@ -320,12 +358,19 @@
         by_density.sort_by(|a, b| density(b).total_cmp(&density(a)));
         for g in by_density {
             let more = (rule(g).most - shares[g]).max(0.0);
-            let part = if work[g] > 0.0 { (left.max(0.0) / work[g]).min(more) } else { more };
+            let part = if work[g] > 0.0 {
+                (left.max(0.0) / work[g]).min(more)
+            } else {
+                more
+            };
             shares[g] += part;
             left -= part * work[g];
         }
         let (span, mut order) = (self.span, std::mem::take(&mut self.order));
-        self.groups.iter_mut().zip(&shares).for_each(|(g, share)| g.divide(*share, span, &mut order));
+        self.groups
+            .iter_mut()
+            .zip(&shares)
+            .for_each(|(g, share)| g.divide(*share, span, &mut order));
         self.order = order;
     }
 
@@ -337,8 +382,9 @@
     /// How many hits of each path group are let in now, of what is offered.
     pub fn shares(&self) -> Vec<f64> {
         let share = |g: &Group| {
-            let (all, passed) =
-                g.accounts.iter().fold((0.0, 0.0), |(all, p), a| (all + a.rate, p + a.rate * a.pass));
+            let (all, passed) = g.accounts.iter().fold((0.0, 0.0), |(all, p), a| {
+                (all + a.rate, p + a.rate * a.pass)
+            });
             if all > 0.0 && self.narrows {
                 passed / all
             } else {
@@ -361,7 +407,13 @@
 
     fn level(least: f64) -> Level {
         let mut level = ladder().levels.remove(0);
-        level.rules = vec![Rule { least, ..Rule::FULL }; 2];
+        level.rules = vec![
+            Rule {
+                least,
+                ..Rule::FULL
+            };
+            2
+        ];
         level
     }
 
@@ -386,7 +438,11 @@
                     if a.arrive(*group, *account, 1.0, rule, 30.0) == Door::Go {
                         let_in[n] += 1;
                         went += 1;
-                        a.ended(*group, if late(went) { Fate::Late } else { Fate::InTime }, 0.1);
+                        a.ended(
+                            *group,
+                            if late(went) { Fate::Late } else { Fate::InTime },
+                            0.1,
+                        );
                     }
                 }
             }
@@ -400,7 +456,15 @@
     fn without_a_level_all_go() {
         let (mut a, mut s, mut now) = (admission(), Signals::new(2), 0.0);
         assert_eq!(
-            offer(&mut a, &mut s, &mut now, 20, &[(0, 0, 100), (1, 0, 100)], None, |_| true),
+            offer(
+                &mut a,
+                &mut s,
+                &mut now,
+                20,
+                &[(0, 0, 100), (1, 0, 100)],
+                None,
+                |_| true
+            ),
             [100, 100]
         );
         assert_eq!((a.budget(), s.shortage), (1.0, 0.0));
@@ -411,10 +475,14 @@
     fn a_shortage_is_borne_by_what_brings_least_for_its_work() {
         let (mut a, mut s, mut now, level) = (admission(), Signals::new(2), 0.0, level(0.1));
         let each = [(0, 0, 100), (1, 0, 100)];
-        offer(&mut a, &mut s, &mut now, 60, &each, Some(&level), |n| n > 120);
+        offer(&mut a, &mut s, &mut now, 60, &each, Some(&level), |n| {
+            n > 120
+        });
         let mut sums = [0, 0];
         for _ in 0..20 {
-            let let_in = offer(&mut a, &mut s, &mut now, 1, &each, Some(&level), |n| n > 120);
+            let let_in = offer(&mut a, &mut s, &mut now, 1, &each, Some(&level), |n| {
+                n > 120
+            });
             sums = [sums[0] + let_in[0], sums[1] + let_in[1]];
         }
         assert_eq!(sums[0], 2000, "{sums:?}");
@@ -428,7 +496,15 @@
     #[test]
     fn the_least_of_a_path_group_is_let_in_however_short_room_is() {
         let (mut a, mut s, mut now, level) = (admission(), Signals::new(2), 0.0, level(0.2));
-        let let_in = offer(&mut a, &mut s, &mut now, 80, &[(0, 0, 100), (1, 0, 100)], Some(&level), |_| true);
+        let let_in = offer(
+            &mut a,
+            &mut s,
+            &mut now,
+            80,
+            &[(0, 0, 100), (1, 0, 100)],
+            Some(&level),
+            |_| true,
+        );
         assert!(let_in.iter().all(|n| (19..=21).contains(n)), "{let_in:?}");
     }
 
@@ -438,9 +514,13 @@
         let (mut a, mut s, mut now, level) = (admission(), Signals::new(2), 0.0, level(0.0));
         let each = [(1, 0, 20), (1, 1, 20), (1, 2, 200)];
         let mut sums = [0; 3];
-        offer(&mut a, &mut s, &mut now, 40, &each, Some(&level), |n| n > 110);
+        offer(&mut a, &mut s, &mut now, 40, &each, Some(&level), |n| {
+            n > 110
+        });
         for _ in 0..20 {
-            let let_in = offer(&mut a, &mut s, &mut now, 1, &each, Some(&level), |n| n > 110);
+            let let_in = offer(&mut a, &mut s, &mut now, 1, &each, Some(&level), |n| {
+                n > 110
+            });
             (0..3).for_each(|i| sums[i] += let_in[i]);
         }
         assert_eq!(sums[..2], [400, 400]);
@@ -451,22 +531,48 @@
     #[test]
     fn who_is_turned_away_comes_back_spread() {
         let (mut a, mut s, mut now, level) = (admission(), Signals::new(2), 0.0, level(0.0));
-        offer(&mut a, &mut s, &mut now, 60, &[(1, 0, 100)], Some(&level), |_| true);
+        offer(
+            &mut a,
+            &mut s,
+            &mut now,
+            60,
+            &[(1, 0, 100)],
+            Some(&level),
+            |_| true,
+        );
         let mut seconds = [0; 46];
         for _ in 0..3000 {
             if let Door::Turned { again_after } = a.arrive(1, 0, 1.0, None, 30.0) {
                 seconds[again_after as usize] += 1;
             }
         }
-        assert!(seconds[15..45].iter().all(|n| (40..200).contains(n)), "{seconds:?}");
+        assert!(
+            seconds[15..45].iter().all(|n| (40..200).contains(n)),
+            "{seconds:?}"
+        );
         assert!(seconds[..15].iter().all(|n| *n == 0));
     }
 
     #[test]
     fn waiting_is_bounded_and_goes_by_benefit_once_there_is_room() {
         let (mut a, mut s, mut now, mut level) = (admission(), Signals::new(2), 0.0, level(0.0));
-        level.rules = vec![Rule { waiting: 3, longest_wait: 0.4, ..Rule::FULL }; 2];
-        offer(&mut a, &mut s, &mut now, 60, &[(0, 0, 100), (1, 0, 100)], Some(&level), |_| true);
+        level.rules = vec![
+            Rule {
+                waiting: 3,
+                longest_wait: 0.4,
+                ..Rule::FULL
+            };
+            2
+        ];
+        offer(
+            &mut a,
+            &mut s,
+            &mut now,
+            60,
+            &[(0, 0, 100), (1, 0, 100)],
+            Some(&level),
+            |_| true,
+        );
         while a.waiting.pop_front().is_some() {}
         a.groups.iter_mut().for_each(|g| g.waiting = 0);
         let mut doors = Vec::new();
@@ -488,7 +594,10 @@
         a.gone(doors[3].0);
         let out: Vec<u64> = std::iter::from_fn(|| a.released(&s)).collect();
         // Pay's two that are left, oldest first, then read's three.
-        assert_eq!(out, [doors[4].0, doors[5].0, doors[0].0, doors[1].0, doors[2].0]);
+        assert_eq!(
+            out,
+            [doors[4].0, doors[5].0, doors[0].0, doors[1].0, doors[2].0]
+        );
         assert!(a.groups.iter().all(|g| g.waiting == 0));
     }
 
--- a/crates/degradation/src/keeper.rs
+++ b/crates/degradation/src/keeper.rs
@@ -59,7 +59,13 @@
         self.0.resize(tests.len(), None);
         for (test, since) in tests.into_iter().zip(&mut self.0) {
             let value = signals.value(now, test.signal);
-            let holds = value.is_some_and(|v| if test.above { v > test.edge } else { v < test.edge });
+            let holds = value.is_some_and(|v| {
+                if test.above {
+                    v > test.edge
+                } else {
+                    v < test.edge
+                }
+            });
             *since = if holds { since.or(Some(now)) } else { None };
         }
         let mut place = 0;
@@ -76,7 +82,10 @@
     ) -> bool {
         // Every part is looked at, so that the places of tests stay in step.
         let mut each = |parts: &[Condition], why: &mut Vec<(Test, f64)>| -> (usize, usize) {
-            let held = parts.iter().filter(|p| self.holds(now, p, signals, place, why)).count();
+            let held = parts
+                .iter()
+                .filter(|p| self.holds(now, p, signals, place, why))
+                .count();
             (held, parts.len())
         };
         match condition {
@@ -138,7 +147,9 @@
     ) -> Keeper {
         let enters = vec![Timers::default(); ladder.levels.len()];
         let known = last.filter(|(_, ago)| (0.0..=BELIEVED).contains(ago));
-        let level = known.and_then(|(change, _)| ladder.place(&change.to)).unwrap_or(0);
+        let level = known
+            .and_then(|(change, _)| ladder.place(&change.to))
+            .unwrap_or(0);
         let mut keeper = Keeper {
             ladder,
             groups,
@@ -171,7 +182,10 @@
     pub fn settle(&mut self, now: f64, ladder: Ladder) -> Option<Change> {
         let name = self.ladder.name(self.level).to_owned();
         let place = ladder.place(&name).unwrap_or(0);
-        (self.enters, self.leaves) = (vec![Timers::default(); ladder.levels.len()], Timers::default());
+        (self.enters, self.leaves) = (
+            vec![Timers::default(); ladder.levels.len()],
+            Timers::default(),
+        );
         (self.ladder, self.due) = (ladder, None);
         if place == 0 && self.level > 0 {
             self.level = 0;
@@ -209,8 +223,10 @@
             }
         }
         let mut why = Vec::new();
-        let leaves =
-            self.ladder.at(self.level).is_some_and(|l| self.leaves.look(now, &l.leave, signals, &mut why));
+        let leaves = self
+            .ladder
+            .at(self.level)
+            .is_some_and(|l| self.leaves.look(now, &l.leave, signals, &mut why));
         if let Some(held) = &self.held {
             if now < held.until {
                 return None;
@@ -238,7 +254,8 @@
 
     /// Whether a change may be at all.
     fn may_change(&self, now: f64) -> bool {
-        self.changed_at.is_none_or(|at| now - at >= self.ladder.spacing)
+        self.changed_at
+            .is_none_or(|at| now - at >= self.ladder.spacing)
     }
 
     /// Whether a change to this place has been due for as long as this agent waits, so that not all change at once.
@@ -288,7 +305,11 @@
         let one = |(test, value): &(Test, f64)| {
             let side = if test.above { "above" } else { "below" };
             let signal = test.signal;
-            let lasts = if test.lasts > 0.0 { format!(" for {} s", test.lasts) } else { String::new() };
+            let lasts = if test.lasts > 0.0 {
+                format!(" for {} s", test.lasts)
+            } else {
+                String::new()
+            };
             format!(
                 "{} {}, {side} {}{lasts}",
                 signal.name(&self.groups),
@@ -301,7 +322,12 @@
 
     fn change(&mut self, now: f64, place: usize, because: String) -> Change {
         let name = |place| self.ladder.name(place).to_owned();
-        let change = Change { at: now, from: name(self.level), to: name(place), because };
+        let change = Change {
+            at: now,
+            from: name(self.level),
+            to: name(place),
+            because,
+        };
         (self.level, self.since, self.changed_at, self.due) = (place, now, Some(now), None);
         self.because = change.because.clone();
         self.leaves = Timers::default();
@@ -313,16 +339,36 @@
     }
 
     /// Holds a level by hand for so many seconds; then conditions decide again. An error names the levels there are.
-    pub fn hold(&mut self, now: f64, name: &str, seconds: f64, who: &str) -> Result<Option<Change>, String> {
-        let place = if name == "full" { Some(0) } else { self.ladder.place(name) };
+    pub fn hold(
+        &mut self,
+        now: f64,
+        name: &str,
+        seconds: f64,
+        who: &str,
+    ) -> Result<Option<Change>, String> {
+        let place = if name == "full" {
+            Some(0)
+        } else {
+            self.ladder.place(name)
+        };
         let Some(place) = place else {
-            let known: Vec<&str> = (0..=self.ladder.levels.len()).map(|p| self.ladder.name(p)).collect();
-            return Err(format!("level: found '{name}', expected one of {}", known.join(", ")));
+            let known: Vec<&str> = (0..=self.ladder.levels.len())
+                .map(|p| self.ladder.name(p))
+                .collect();
+            return Err(format!(
+                "level: found '{name}', expected one of {}",
+                known.join(", ")
+            ));
         };
         if !(seconds > 0.0 && seconds <= 86_400.0) {
-            return Err(format!("for: found {seconds} s, expected a time up to a day"));
+            return Err(format!(
+                "for: found {seconds} s, expected a time up to a day"
+            ));
         }
-        self.held = Some(Held { until: now + seconds, who: who.to_owned() });
+        self.held = Some(Held {
+            until: now + seconds,
+            who: who.to_owned(),
+        });
         let because = format!("held by {who} for {seconds} s");
         if place == self.level {
             self.because = because;
@@ -346,7 +392,10 @@
 
     /// The level whose rules hold: a start without memory goes by the mildest until it has seen a few hits.
     pub fn rules(&self, now: f64) -> Option<&Level> {
-        let first = self.is_first(now).then(|| self.ladder.levels.first()).flatten();
+        let first = self
+            .is_first(now)
+            .then(|| self.ladder.levels.first())
+            .flatten();
         self.level().or(first)
     }
 
@@ -372,7 +421,9 @@
 
     /// How long the level holds at least from now on, by its own word.
     pub fn stays(&self, now: f64) -> f64 {
-        let least = self.level().map_or(0.0, |l| l.least_stay.max(self.ladder.spacing));
+        let least = self
+            .level()
+            .map_or(0.0, |l| l.least_stay.max(self.ladder.spacing));
         (self.since + least * self.patience - now).max(0.0)
     }
 }
@@ -390,10 +441,22 @@
     }
 
     fn level(name: &str, enter: &str, leave: &str, at_once: bool) -> Level {
-        let (enter, leave) = (read(enter, &groups()).expect("good"), read(leave, &groups()).expect("good"));
+        let (enter, leave) = (
+            read(enter, &groups()).expect("good"),
+            read(leave, &groups()).expect("good"),
+        );
         let rules = vec![crate::ladder::Rule::FULL; 2];
         let (least_stay, holds_trial, connections) = (30.0, false, 1.0);
-        Level { name: name.into(), enter, leave, least_stay, at_once, holds_trial, connections, rules }
+        Level {
+            name: name.into(),
+            enter,
+            leave,
+            least_stay,
+            at_once,
+            holds_trial,
+            connections,
+            rules,
+        }
     }
 
     /// Two levels by the processor's load, and one for a jam; one change in 30 s.
@@ -403,7 +466,11 @@
             level("full-house", "cpu > 85% for 2s", "cpu < 60% for 5s", false),
             level("jam", "cpu > 95%", "cpu < 65%", true),
         ];
-        Ladder { levels, spacing: 30.0, spread: 5.0 }
+        Ladder {
+            levels,
+            spacing: 30.0,
+            spread: 5.0,
+        }
     }
 
     fn keeper(seed: u64) -> Keeper {
@@ -437,9 +504,15 @@
         assert!(go(&mut k, &mut s, &mut now, 20.0, |_| 0.4).is_empty());
         let up = go(&mut k, &mut s, &mut now, 60.0, |_| 0.9);
         assert_eq!(names(&up), ["busy", "full-house"]);
-        assert_eq!(up[0].because, "on the way to 'full-house': cpu 90.0%, above 85.0% for 2 s");
+        assert_eq!(
+            up[0].because,
+            "on the way to 'full-house': cpu 90.0%, above 85.0% for 2 s"
+        );
         assert_eq!(up[1].because, "cpu 90.0%, above 85.0% for 2 s");
-        assert!(up[0].at <= 1000.0 + 20.0 + 2.0 + 5.0 + 1.0 && up[1].at - up[0].at >= 30.0, "{up:?}");
+        assert!(
+            up[0].at <= 1000.0 + 20.0 + 2.0 + 5.0 + 1.0 && up[1].at - up[0].at >= 30.0,
+            "{up:?}"
+        );
         let down = go(&mut k, &mut s, &mut now, 200.0, |_| 0.3);
         assert_eq!(names(&down), ["busy", "full"]);
         assert_eq!(down[1].because, "cpu 30.0%, below 50.0% for 5 s");
@@ -497,7 +570,10 @@
             }
             stays.push(down[0].at - entered);
         }
-        assert!(stays[1] > 1.5 * stays[0] && stays[2] > 1.5 * stays[1], "{stays:?}");
+        assert!(
+            stays[1] > 1.5 * stays[0] && stays[2] > 1.5 * stays[1],
+            "{stays:?}"
+        );
     }
 
     #[test]
@@ -524,7 +600,10 @@
             assert!(changes.is_empty(), "{jump}: {changes:?}");
         }
         // And what it waits for still comes.
-        assert_eq!(names(&go(&mut k, &mut s, &mut now, 100.0, |_| 0.3)), ["full"]);
+        assert_eq!(
+            names(&go(&mut k, &mut s, &mut now, 100.0, |_| 0.3)),
+            ["full"]
+        );
     }
 
     #[test]
@@ -535,19 +614,36 @@
             Err("level: found 'odd', expected one of full, busy, full-house, jam".into())
         );
         assert!(k.hold(now, "busy", 1e9, "ada").is_err());
-        let change = k.hold(now, "full-house", 600.0, "ada").expect("good").expect("another");
-        assert_eq!((change.to.as_str(), change.because.as_str()), ("full-house", "held by ada for 600 s"));
+        let change = k
+            .hold(now, "full-house", 600.0, "ada")
+            .expect("good")
+            .expect("another");
+        assert_eq!(
+            (change.to.as_str(), change.because.as_str()),
+            ("full-house", "held by ada for 600 s")
+        );
         assert!(go(&mut k, &mut s, &mut now, 599.0, |_| 0.1).is_empty());
         assert_eq!(k.stands(now).2, Some(1.0));
-        assert_eq!(names(&go(&mut k, &mut s, &mut now, 200.0, |_| 0.1)), ["busy", "full"]);
+        assert_eq!(
+            names(&go(&mut k, &mut s, &mut now, 200.0, |_| 0.1)),
+            ["busy", "full"]
+        );
         k.hold(now, "jam", 600.0, "ada").expect("good");
         assert!(k.release("ada") && !k.release("ada"));
-        assert_eq!(names(&go(&mut k, &mut s, &mut now, 200.0, |_| 0.1)), ["full-house", "busy", "full"]);
+        assert_eq!(
+            names(&go(&mut k, &mut s, &mut now, 200.0, |_| 0.1)),
+            ["full-house", "busy", "full"]
+        );
     }
 
     #[test]
     fn after_a_restart_the_level_comes_back_with_its_age() {
-        let last = Change { at: 0.0, from: "full".into(), to: "full-house".into(), because: "cpu".into() };
+        let last = Change {
+            at: 0.0,
+            from: "full".into(),
+            to: "full-house".into(),
+            because: "cpu".into(),
+        };
         let start = |ago| Keeper::start(ladder(), groups(), 1000.0, 1, Some((&last, ago)));
         let (mut k, mut s, mut now) = (start(10.0), Signals::new(2), 1000.0);
         assert_eq!((k.name(), k.is_first(1000.0)), ("full-house", false));
@@ -572,7 +668,10 @@
         let mut other = ladder();
         other.levels.truncate(1);
         let change = k.settle(now, other).expect("a change");
-        assert_eq!((change.from.as_str(), change.to.as_str()), ("full-house", "full"));
+        assert_eq!(
+            (change.from.as_str(), change.to.as_str()),
+            ("full-house", "full")
+        );
         assert_eq!(change.because, "'full-house' is no longer among the levels");
         assert_eq!(k.name(), "full");
         go(&mut k, &mut s, &mut now, 60.0, |_| 0.9);
--- a/crates/degradation/src/ladder.rs
+++ b/crates/degradation/src/ladder.rs
@@ -23,7 +23,13 @@
 }
 
 impl Rule {
-    pub const FULL: Rule = Rule { most: 1.0, least: 0.0, waiting: 0, longest_wait: 0.0, forwards: 0 };
+    pub const FULL: Rule = Rule {
+        most: 1.0,
+        least: 0.0,
+        waiting: 0,
+        longest_wait: 0.0,
+        forwards: 0,
+    };
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -56,8 +62,14 @@
 impl Ladder {
     /// The levels of the operators' file; none without the element. An error lists all that makes no sense.
     /// `one_way`: keys that went to the trial build may not go back to the earlier one.
-    pub fn read(values: &Values, groups: &[String], one_way: bool) -> Result<Option<Ladder>, Vec<String>> {
-        let Some(spacing) = number(values, "levels.spacing_s") else { return Ok(None) };
+    pub fn read(
+        values: &Values,
+        groups: &[String],
+        one_way: bool,
+    ) -> Result<Option<Ladder>, Vec<String>> {
+        let Some(spacing) = number(values, "levels.spacing_s") else {
+            return Ok(None);
+        };
         let mut ladder = Ladder {
             levels: Vec::new(),
             spacing,
@@ -66,7 +78,9 @@
         let mut wrong = Vec::new();
         for i in 0.. {
             let at = format!("levels.level.{i}");
-            let Some(name) = text(values, &format!("{at}.name")) else { break };
+            let Some(name) = text(values, &format!("{at}.name")) else {
+                break;
+            };
             match level(values, &at, name, groups) {
                 Ok(level) => ladder.levels.push(level),
                 Err(all) => wrong.extend(all.into_iter().map(|e| format!("level '{name}': {e}"))),
@@ -85,7 +99,8 @@
     /// All that makes no sense in levels that are well written each.
     fn senseless(&self, groups: &[String], one_way: bool) -> Vec<String> {
         let mut wrong = Vec::new();
-        let mut found = |level: &Level, what: String| wrong.push(format!("level '{}': {what}", level.name));
+        let mut found =
+            |level: &Level, what: String| wrong.push(format!("level '{}': {what}", level.name));
         for (i, level) in self.levels.iter().enumerate() {
             if self.levels[..i].iter().any(|l| l.name == level.name) {
                 found(level, "found again, expected each name once".into());
@@ -101,7 +116,10 @@
             let (enters, leaves) = match (alternatives(&level.enter), alternatives(&level.leave)) {
                 (Some(enters), Some(leaves)) => (enters, leaves),
                 _ => {
-                    found(level, format!("expected at most {ALTERNATIVES} alternatives in a condition"));
+                    found(
+                        level,
+                        format!("expected at most {ALTERNATIVES} alternatives in a condition"),
+                    );
                     continue;
                 }
             };
@@ -110,7 +128,9 @@
             }
             // A group of which nothing is let in says nothing of itself.
             let silent = |signal: Signal| {
-                signal.group().is_some_and(|g| level.rules[g].most <= 0.0 && level.rules[g].least <= 0.0)
+                signal
+                    .group()
+                    .is_some_and(|g| level.rules[g].most <= 0.0 && level.rules[g].least <= 0.0)
             };
             let leavable = |l: &Vec<Test>| can_be(l) && !l.iter().any(|t| silent(t.signal));
             if !leaves.iter().any(leavable) {
@@ -118,8 +138,12 @@
             }
             // Nor may a harsher level's edge lie within what a milder one is left by.
             for milder in &self.levels[..=i] {
-                let Some(leaves) = alternatives(&milder.leave) else { continue };
-                let pairs = enters.iter().flat_map(|e| leaves.iter().map(move |l| (e, l)));
+                let Some(leaves) = alternatives(&milder.leave) else {
+                    continue;
+                };
+                let pairs = enters
+                    .iter()
+                    .flat_map(|e| leaves.iter().map(move |l| (e, l)));
                 if let Some((e, l)) = pairs.into_iter().find(|(e, l)| !apart(e, l)) {
                     let of = if milder.name == level.name {
                         "it is left".into()
@@ -135,7 +159,9 @@
                     found(level, what);
                 }
             }
-            let Some(milder) = i.checked_sub(1).map(|j| &self.levels[j]) else { continue };
+            let Some(milder) = i.checked_sub(1).map(|j| &self.levels[j]) else {
+                continue;
+            };
             for (g, (own, other)) in level.rules.iter().zip(&milder.rules).enumerate() {
                 if own.most > other.most || own.least > other.least {
                     let what = format!(
@@ -151,7 +177,10 @@
 
     /// Where a level of this name stands; 0 is full service.
     pub fn place(&self, name: &str) -> Option<usize> {
-        self.levels.iter().position(|l| l.name == name).map(|i| i + 1)
+        self.levels
+            .iter()
+            .position(|l| l.name == name)
+            .map(|i| i + 1)
     }
 
     /// The level at a place; none for full service.
@@ -171,18 +200,27 @@
     }
     let mut condition = |what: &str| {
         let written = text(values, &format!("{at}.{what}")).unwrap_or_default();
-        words::read(written, groups).map_err(|e| wrong.push(format!("{what}: {e}"))).ok()
+        words::read(written, groups)
+            .map_err(|e| wrong.push(format!("{what}: {e}")))
+            .ok()
     };
     let (enter, leave) = (condition("enter"), condition("leave"));
     let mut rules = vec![None; groups.len()];
     for j in 0.. {
         let at = format!("{at}.group.{j}");
-        let Some(name) = text(values, &format!("{at}.name")) else { break };
+        let Some(name) = text(values, &format!("{at}.name")) else {
+            break;
+        };
         let Some(place) = groups.iter().position(|g| g == name) else {
-            wrong.push(format!("group: found '{name}', expected one of {}", groups.join(", ")));
+            wrong.push(format!(
+                "group: found '{name}', expected one of {}",
+                groups.join(", ")
+            ));
             continue;
         };
-        let of = |what: &str, otherwise: f64| number(values, &format!("{at}.{what}")).unwrap_or(otherwise);
+        let of = |what: &str, otherwise: f64| {
+            number(values, &format!("{at}.{what}")).unwrap_or(otherwise)
+        };
         let rule = Rule {
             most: of("share", 1.0),
             least: of("least", 0.0),
@@ -197,7 +235,9 @@
             ));
         }
         if (rule.waiting > 0) != (rule.longest_wait > 0.0) {
-            wrong.push(format!("{name}: expected most-waiting and longest-wait-s together"));
+            wrong.push(format!(
+                "{name}: expected most-waiting and longest-wait-s together"
+            ));
         }
         if rules[place].replace(rule).is_some() {
             wrong.push(format!("group: found '{name}' again, expected each once"));
@@ -234,7 +274,10 @@
                 if all.len() * part.len() > ALTERNATIVES {
                     return None;
                 }
-                all = all.iter().flat_map(|a| part.iter().map(move |p| [&a[..], p].concat())).collect();
+                all = all
+                    .iter()
+                    .flat_map(|a| part.iter().map(move |p| [&a[..], p].concat()))
+                    .collect();
             }
             all
         }
@@ -247,7 +290,9 @@
     let mut ranges: BTreeMap<Signal, (f64, f64)> = BTreeMap::new();
     for test in tests {
         // Edges are not part of what they bound; the ends of a signal's own range are, and no test may reach them.
-        let range = ranges.entry(test.signal).or_insert((f64::NEG_INFINITY, f64::INFINITY));
+        let range = ranges
+            .entry(test.signal)
+            .or_insert((f64::NEG_INFINITY, f64::INFINITY));
         if test.above {
             range.0 = range.0.max(test.edge);
         } else {
@@ -261,18 +306,25 @@
 fn apart(enter: &[Test], leave: &[Test]) -> bool {
     let far = |low: f64, high: f64| low <= (1.0 - APART) * high;
     enter.iter().any(|e| {
-        leave.iter().filter(|l| l.signal == e.signal).any(|l| match (e.above, l.above) {
-            (true, false) => far(l.edge, e.edge),
-            (false, true) => far(e.edge, l.edge),
-            _ => false,
-        })
+        leave
+            .iter()
+            .filter(|l| l.signal == e.signal)
+            .any(|l| match (e.above, l.above) {
+                (true, false) => far(l.edge, e.edge),
+                (false, true) => far(e.edge, l.edge),
+                _ => false,
+            })
     })
 }
 
 fn show(tests: &[Test], groups: &[String]) -> String {
     let one = |t: &Test| {
         let side = if t.above { "above" } else { "below" };
-        format!("{} is {side} {}", t.signal.name(groups), t.signal.show(t.edge))
+        format!(
+            "{} is {side} {}",
+            t.signal.name(groups),
+            t.signal.show(t.edge)
+        )
     };
     tests.iter().map(one).collect::<Vec<_>>().join(" and ")
 }
@@ -303,12 +355,22 @@
         put(&mut v, "levels", &[("spacing_s", "30"), ("spread_s", "5")]);
         let busy = [
             ("name", "busy"),
-            ("enter", "late(pay) > 3% for 2s or in-flight > 0.9 of limit for 3s"),
-            ("leave", "late(pay) < 1% and in-flight < 0.6 of limit and shortage < 2%"),
+            (
+                "enter",
+                "late(pay) > 3% for 2s or in-flight > 0.9 of limit for 3s",
+            ),
+            (
+                "leave",
+                "late(pay) < 1% and in-flight < 0.6 of limit and shortage < 2%",
+            ),
             ("least_stay_s", "30"),
         ];
         put(&mut v, "levels.level.0", &busy);
-        put(&mut v, "levels.level.0.group.0", &[("name", "read"), ("share", "0.6"), ("least", "0.2")]);
+        put(
+            &mut v,
+            "levels.level.0.group.0",
+            &[("name", "read"), ("share", "0.6"), ("least", "0.2")],
+        );
         let jam = [
             ("name", "jam"),
             ("enter", "late(pay) > 20% or in-flight > 2 of limit"),
@@ -332,17 +394,33 @@
     fn told(change: impl Fn(&mut Values)) -> String {
         let mut v = values();
         change(&mut v);
-        Ladder::read(&v, &groups(), false).expect_err("refused").join("; ")
+        Ladder::read(&v, &groups(), false)
+            .expect_err("refused")
+            .join("; ")
     }
 
     #[test]
     fn levels_are_read_mildest_first() {
-        let ladder = Ladder::read(&values(), &groups(), false).expect("good").expect("there");
-        assert_eq!((ladder.spacing, ladder.spread, ladder.levels.len()), (30.0, 5.0, 2));
-        assert_eq!((ladder.place("jam"), ladder.place("odd"), ladder.name(0)), (Some(2), None, "full"));
+        let ladder = Ladder::read(&values(), &groups(), false)
+            .expect("good")
+            .expect("there");
+        assert_eq!(
+            (ladder.spacing, ladder.spread, ladder.levels.len()),
+            (30.0, 5.0, 2)
+        );
+        assert_eq!(
+            (ladder.place("jam"), ladder.place("odd"), ladder.name(0)),
+            (Some(2), None, "full")
+        );
         let jam = ladder.at(2).expect("one");
         assert!(jam.at_once && jam.holds_trial && jam.rules[0] == Rule::FULL);
-        let rule = Rule { most: 0.3, least: 0.05, waiting: 20, longest_wait: 0.3, forwards: 1 };
+        let rule = Rule {
+            most: 0.3,
+            least: 0.05,
+            waiting: 20,
+            longest_wait: 0.3,
+            forwards: 1,
+        };
         assert_eq!(jam.rules[2], rule);
         assert_eq!(Ladder::read(&Values::new(), &groups(), false), Ok(None));
     }
@@ -353,7 +431,10 @@
             move |v: &mut Values| put(v, "levels.level", &[(name, value)])
         };
         for (change, expected) in [
-            (("0.enter", "late(odd) > 1%"), "level 'busy': enter: late: found 'odd'"),
+            (
+                ("0.enter", "late(odd) > 1%"),
+                "level 'busy': enter: late: found 'odd'",
+            ),
             (
                 ("0.leave", "late(pay) < 3% and in-flight < 0.6 of limit"),
                 "expected edges of one signal 10% apart",
@@ -362,35 +443,65 @@
                 ("0.leave", "late(pay) < 1%"),
                 "entered when in-flight is above 0.90 of limit but it is left when late(pay)",
             ),
-            (("0.leave", "cpu > 50% and cpu < 40%"), "leave: can never be while the level holds"),
-            (("0.enter", "cpu > 50% and cpu < 40%"), "enter: can never be"),
+            (
+                ("0.leave", "cpu > 50% and cpu < 40%"),
+                "leave: can never be while the level holds",
+            ),
+            (
+                ("0.enter", "cpu > 50% and cpu < 40%"),
+                "enter: can never be",
+            ),
             (("1.name", "busy"), "found again"),
             (("1.name", "full"), "which is service without a level"),
             (("1.enter", "late(pay) > 0.5%"), "'busy' is left when"),
             (("1.group.0.share", "0.9"), "read: lets in more than 'busy'"),
-            (("1.group.0.least", "0.4"), "least: found 0.4, expected at most its share, 0.3"),
-            (("1.group.0.longest_wait_s", "0"), "expected most-waiting and longest-wait-s together"),
-            (("1.group.0.name", "odd"), "group: found 'odd', expected one of pay, hold, read"),
+            (
+                ("1.group.0.least", "0.4"),
+                "least: found 0.4, expected at most its share, 0.3",
+            ),
+            (
+                ("1.group.0.longest_wait_s", "0"),
+                "expected most-waiting and longest-wait-s together",
+            ),
+            (
+                ("1.group.0.name", "odd"),
+                "group: found 'odd', expected one of pay, hold, read",
+            ),
         ] {
             let error = told(set(change.0, change.1));
             assert!(error.contains(expected), "{change:?}: {error}");
         }
         // A group of which nothing is let in can't show that it is well again.
         let error = told(|v| {
-            put(v, "levels.level.1.group.0", &[("share", "0"), ("least", "0")]);
+            put(
+                v,
+                "levels.level.1.group.0",
+                &[("share", "0"), ("least", "0")],
+            );
             put(
                 v,
                 "levels.level.1",
-                &[("leave", "late(read) < 1% and late(pay) < 5% and in-flight < 0.9 of limit")],
+                &[(
+                    "leave",
+                    "late(read) < 1% and late(pay) < 5% and in-flight < 0.9 of limit",
+                )],
             );
         });
-        assert!(error.contains("'jam': leave: can never be while the level holds"), "{error}");
+        assert!(
+            error.contains("'jam': leave: can never be while the level holds"),
+            "{error}"
+        );
     }
 
     #[test]
     fn a_level_may_not_hold_the_trial_where_keys_are_bound_to_it() {
-        let error = Ladder::read(&values(), &groups(), true).expect_err("refused").join("; ");
-        assert!(error.contains("'jam': trial: found held, but keys are bound one way"), "{error}");
+        let error = Ladder::read(&values(), &groups(), true)
+            .expect_err("refused")
+            .join("; ");
+        assert!(
+            error.contains("'jam': trial: found held, but keys are bound one way"),
+            "{error}"
+        );
     }
 
     #[test]
--- a/crates/degradation/src/lib.rs
+++ b/crates/degradation/src/lib.rs
@@ -102,14 +102,17 @@
     pub fn take(&mut self, now: f64, group: usize, account: usize, remaining: f64) -> Door {
         let rule = self.keeper.rules(now).and_then(|l| l.rules.get(group));
         let stays = self.keeper.stays(now);
-        match self.admission.arrive(group, account, remaining, rule, stays) {
+        match self
+            .admission
+            .arrive(group, account, remaining, rule, stays)
+        {
             Door::Go => {
                 self.signals.began();
                 Door::Go
             }
-            Door::Turned { again_after } => {
-                Door::Turned { again_after: again_after.min(self.here.longest_back) }
-            }
+            Door::Turned { again_after } => Door::Turned {
+                again_after: again_after.min(self.here.longest_back),
+            },
             waits => waits,
         }
     }
@@ -135,7 +138,8 @@
     pub fn ended(&mut self, now: f64, ended: Ended) {
         match ended.fate {
             Some(fate) => {
-                self.signals.ended(now, ended.group, fate, ended.part, ended.waited);
+                self.signals
+                    .ended(now, ended.group, fate, ended.part, ended.waited);
                 self.admission.ended(ended.group, fate, ended.spent);
             }
             None => self.signals.left(),
@@ -155,7 +159,13 @@
         change
     }
 
-    pub fn hold(&mut self, now: f64, name: &str, seconds: f64, who: &str) -> Result<Option<Change>, String> {
+    pub fn hold(
+        &mut self,
+        now: f64,
+        name: &str,
+        seconds: f64,
+        who: &str,
+    ) -> Result<Option<Change>, String> {
         self.keeper.hold(now, name, seconds, who)
     }
 
@@ -165,7 +175,10 @@
 
     /// How often a hit of this path group is forwarded at most; 0 states nothing.
     pub fn forwards(&self, now: f64, group: usize) -> u32 {
-        self.keeper.rules(now).and_then(|l| l.rules.get(group)).map_or(0, |r| r.forwards)
+        self.keeper
+            .rules(now)
+            .and_then(|l| l.rules.get(group))
+            .map_or(0, |r| r.forwards)
     }
 
     /// Whether the trial build gets nothing new meanwhile.
@@ -188,7 +201,13 @@
 
     pub fn stands(&self, now: f64) -> Stands {
         let (for_s, because, held_s) = self.keeper.stands(now);
-        let shares = self.here.groups.iter().cloned().zip(self.admission.shares()).collect();
+        let shares = self
+            .here
+            .groups
+            .iter()
+            .cloned()
+            .zip(self.admission.shares())
+            .collect();
         Stands {
             level: self.keeper.name().to_owned(),
             for_s,
--- a/crates/degradation/src/limit.rs
+++ b/crates/degradation/src/limit.rs
@@ -31,7 +31,14 @@
 impl Default for Limit {
     fn default() -> Limit {
         let parts = [(0.0, 0.0); PARTS];
-        Limit { limit: 20.0, now: None, parts, part: 0, samples: 0.0, since_step: 0.0 }
+        Limit {
+            limit: 20.0,
+            now: None,
+            parts,
+            part: 0,
+            samples: 0.0,
+            since_step: 0.0,
+        }
     }
 }
 
@@ -43,7 +50,11 @@
 
     /// How long hits take now against the time at rest; none until that is known.
     pub fn stretch(&self) -> Option<f64> {
-        let means = self.parts.iter().filter(|(_, n)| *n >= FEW).map(|(sum, n)| sum / n);
+        let means = self
+            .parts
+            .iter()
+            .filter(|(_, n)| *n >= FEW)
+            .map(|(sum, n)| sum / n);
         let rest = means.fold(f64::INFINITY, f64::min);
         self.now.filter(|_| rest.is_finite()).map(|now| now / rest)
     }
@@ -66,7 +77,9 @@
         let (sum, n) = &mut self.parts[(self.part % PARTS as u64) as usize];
         (*sum, *n) = (*sum + time, *n + 1.0);
         self.since_step += 1.0;
-        let Some(stretch) = self.stretch().filter(|_| self.since_step >= NOW / 2.0) else { return };
+        let Some(stretch) = self.stretch().filter(|_| self.since_step >= NOW / 2.0) else {
+            return;
+        };
         self.since_step = 0.0;
         let aim = self.limit * (TOLERATED / stretch).clamp(0.5, 1.0) + self.limit.sqrt();
         // What is not nearly used says nothing of more.
@@ -82,7 +95,14 @@
 
     /// Nodes that take `rest` seconds a hit up to a capacity, and longer in proportion beyond it; an agent that offers so
     /// many in flight, within its limit. Gives the time at the end.
-    fn settle(limit: &mut Limit, from: f64, seconds: f64, capacity: f64, rest: f64, offered: f64) -> f64 {
+    fn settle(
+        limit: &mut Limit,
+        from: f64,
+        seconds: f64,
+        capacity: f64,
+        rest: f64,
+        offered: f64,
+    ) -> f64 {
         let mut now = from;
         while now < from + seconds {
             let in_flight = limit.value().min(offered);
@@ -100,7 +120,11 @@
             let mut limit = Limit::default();
             let now = settle(&mut limit, 0.0, 60.0, capacity, 0.1, 0.9 * capacity);
             settle(&mut limit, now, 60.0, capacity, 0.1, 10.0 * capacity);
-            assert!((capacity..3.0 * capacity).contains(&limit.value()), "{capacity}: {}", limit.value());
+            assert!(
+                (capacity..3.0 * capacity).contains(&limit.value()),
+                "{capacity}: {}",
+                limit.value()
+            );
         }
     }
 
@@ -111,9 +135,17 @@
         let now = settle(&mut limit, 0.0, 60.0, 100.0, 0.1, 100.0);
         let before = limit.value();
         let now = settle(&mut limit, now, 20.0, 100.0, 0.6, 100.0);
-        assert!(limit.value() < 0.5 * before, "{} of {before}", limit.value());
+        assert!(
+            limit.value() < 0.5 * before,
+            "{} of {before}",
+            limit.value()
+        );
         settle(&mut limit, now, 150.0, 100.0, 0.6, 100.0);
-        assert!(limit.value() > 0.9 * before, "{} of {before}", limit.value());
+        assert!(
+            limit.value() > 0.9 * before,
+            "{} of {before}",
+            limit.value()
+        );
     }
 
     #[test]
--- a/crates/degradation/src/signals.rs
+++ b/crates/degradation/src/signals.rs
@@ -98,7 +98,9 @@
         let in_flight = self.in_flight;
         self.in_flight = (self.in_flight - 1.0).max(0.0);
         if let Some(waited) = waited {
-            let mean = self.queueing.map_or(waited, |(mean, _)| mean + 0.1 * (waited - mean));
+            let mean = self
+                .queueing
+                .map_or(waited, |(mean, _)| mean + 0.1 * (waited - mean));
             self.queueing = Some((mean, now));
         }
         if matches!(fate, Fate::InTime | Fate::Late) {
@@ -106,7 +108,9 @@
         }
         let all = self.groups.len() - 1;
         for place in [group, all] {
-            let Some(g) = self.groups.get_mut(place) else { return };
+            let Some(g) = self.groups.get_mut(place) else {
+                return;
+            };
             g.fade(now);
             g.all += 1.0;
             g.rate += 1.0 / SPAN.1;
@@ -143,8 +147,11 @@
 
     /// The figure now, unless it is unknown.
     pub fn value(&self, now: f64, signal: Signal) -> Option<f64> {
-        let fresh =
-            |known: Option<(f64, f64)>| known.filter(|(_, at)| now - at <= OLD).map(|(value, _)| value);
+        let fresh = |known: Option<(f64, f64)>| {
+            known
+                .filter(|(_, at)| now - at <= OLD)
+                .map(|(value, _)| value)
+        };
         match signal {
             Signal::Late(g) => self.share(now, g, Fate::Late as usize - 1),
             Signal::Failed(g) => self.share(now, g, Fate::Failed as usize - 1),
@@ -172,7 +179,11 @@
     fn busy(signals: &mut Signals, from: f64, hits: usize, a_second: f64, late: usize) -> f64 {
         for i in 0..hits {
             signals.began();
-            let fate = if late > 0 && i % late == 0 { Fate::Late } else { Fate::InTime };
+            let fate = if late > 0 && i % late == 0 {
+                Fate::Late
+            } else {
+                Fate::InTime
+            };
             signals.ended(from + i as f64 / a_second, 0, fate, 0.3, Some(0.01));
         }
         from + hits as f64 / a_second
@@ -186,9 +197,16 @@
         assert!((late - 0.25).abs() < 0.03, "{late}");
         let now = busy(&mut signals, now, 1500, 100.0, 0);
         assert!(signals.value(now, Signal::Late(Some(0))).expect("known") < 0.01);
-        assert_eq!(signals.value(now, Signal::Late(Some(1))), None, "no hit of it");
+        assert_eq!(
+            signals.value(now, Signal::Late(Some(1))),
+            None,
+            "no hit of it"
+        );
         assert_eq!(signals.value(now, Signal::Late(Some(9))), None);
-        assert_eq!(signals.value(now, Signal::Late(None)), signals.value(now, Signal::Late(Some(0))));
+        assert_eq!(
+            signals.value(now, Signal::Late(None)),
+            signals.value(now, Signal::Late(Some(0)))
+        );
     }
 
     #[test]
@@ -200,7 +218,12 @@
         assert_eq!(signals.value(now, Signal::Late(Some(0))), Some(0.0));
         assert_eq!(signals.value(now, Signal::Cpu), Some(0.4));
         assert_eq!(signals.value(now, Signal::Memory), None);
-        for signal in [Signal::Late(Some(0)), Signal::Cpu, Signal::Queueing, Signal::Descriptors] {
+        for signal in [
+            Signal::Late(Some(0)),
+            Signal::Cpu,
+            Signal::Queueing,
+            Signal::Descriptors,
+        ] {
             assert_eq!(signals.value(now + OLD + 0.1, signal), None, "{signal:?}");
         }
         signals.forget();
@@ -223,7 +246,10 @@
     fn in_flight_is_a_part_of_the_limit() {
         let mut signals = Signals::new(1);
         (0..10).for_each(|_| signals.began());
-        assert_eq!(signals.value(0.0, Signal::InFlight), Some(10.0 / signals.limit.value()));
+        assert_eq!(
+            signals.value(0.0, Signal::InFlight),
+            Some(10.0 / signals.limit.value())
+        );
         signals.ended(0.0, 0, Fate::Bounced, 0.0, None);
         assert_eq!(signals.in_flight(), 9.0);
     }
--- a/crates/degradation/src/words.rs
+++ b/crates/degradation/src/words.rs
@@ -136,7 +136,9 @@
     pub fn tests<'a>(&'a self, into: &mut Vec<&'a Test>) {
         match self {
             Condition::Test(test) => into.push(test),
-            Condition::All(parts) | Condition::Any(parts) => parts.iter().for_each(|p| p.tests(into)),
+            Condition::All(parts) | Condition::Any(parts) => {
+                parts.iter().for_each(|p| p.tests(into))
+            }
         }
     }
 }
@@ -171,13 +173,24 @@
 
 fn number(input: &mut &str) -> Parsed<f64> {
     let digits = take_while(1..=12, |c: char| c.is_ascii_digit() || c == '.');
-    digits.verify_map(|d: &str| d.parse::<f64>().ok()).context(expected("a number")).parse_next(input)
+    digits
+        .verify_map(|d: &str| d.parse::<f64>().ok())
+        .context(expected("a number"))
+        .parse_next(input)
 }
 
 fn test<'a>(input: &mut &'a str) -> Parsed<Tree<'a>> {
-    let signal = terminated(take_while(1..=32, |c: char| c.is_ascii_lowercase() || c == '-'), multispace0);
-    let signal = signal.verify(|s: &str| !["and", "or", "for", "of", "above", "below"].contains(&s));
-    let group = delimited('(', take_till(1..=128, ')').map(str::trim), (')', multispace0));
+    let signal = terminated(
+        take_while(1..=32, |c: char| c.is_ascii_lowercase() || c == '-'),
+        multispace0,
+    );
+    let signal =
+        signal.verify(|s: &str| !["and", "or", "for", "of", "above", "below"].contains(&s));
+    let group = delimited(
+        '(',
+        take_till(1..=128, ')').map(str::trim),
+        (')', multispace0),
+    );
     let compared = alt((
         (alt((">".void(), word("above").void())), multispace0).value(true),
         (alt(("<".void(), word("below").void())), multispace0).value(false),
@@ -191,7 +204,10 @@
     let lasts = preceded(
         (word("for"), multispace0),
         cut_err(
-            (terminated(number, multispace0), alt((word("ms"), word("s"))))
+            (
+                terminated(number, multispace0),
+                alt((word("ms"), word("s"))),
+            )
                 .context(expected("a time such as 2s")),
         ),
     );
@@ -204,14 +220,24 @@
         preceded(multispace0, opt(lasts)),
     )
         .parse_next(input)?;
-    Ok(Tree::Test(Written { signal, group, above, number, unit, lasts }))
+    Ok(Tree::Test(Written {
+        signal,
+        group,
+        above,
+        number,
+        unit,
+        lasts,
+    }))
 }
 
 fn part<'a>(input: &mut &'a str) -> Parsed<Tree<'a>> {
     let nested = delimited(
         ('(', multispace0),
         any,
-        (cut_err(')'.context(expected("a closing parenthesis"))), multispace0),
+        (
+            cut_err(')'.context(expected("a closing parenthesis"))),
+            multispace0,
+        ),
     );
     terminated(alt((nested, test)), multispace0).parse_next(input)
 }
@@ -236,31 +262,57 @@
 /// Reads a condition; an error says where, what was found and what was expected.
 pub fn read(text: &str, groups: &[String]) -> Result<Condition, String> {
     if text.len() > LONGEST {
-        return Err(format!("found {} characters, expected {LONGEST} at most", text.len()));
+        return Err(format!(
+            "found {} characters, expected {LONGEST} at most",
+            text.len()
+        ));
     }
     let mut depth = 0;
     for c in text.chars() {
         depth += i32::from(c == '(') - i32::from(c == ')');
         if depth > DEEPEST as i32 + 1 {
-            return Err(format!("found more than {DEEPEST} parentheses in one another"));
+            return Err(format!(
+                "found more than {DEEPEST} parentheses in one another"
+            ));
         }
     }
     let tree = preceded(multispace0, any).parse(text).map_err(|e| {
-        let rest: String = text.get(e.offset()..).unwrap_or_default().chars().take(20).collect();
-        let found = if rest.is_empty() { "the end".to_owned() } else { format!("'{rest}'") };
+        let rest: String = text
+            .get(e.offset()..)
+            .unwrap_or_default()
+            .chars()
+            .take(20)
+            .collect();
+        let found = if rest.is_empty() {
+            "the end".to_owned()
+        } else {
+            format!("'{rest}'")
+        };
         let what = e.inner().context().find_map(|c| match c {
             StrContext::Expected(StrContextValue::Description(what)) => Some(*what),
             _ => None,
         });
         let after = matches!(rest.trim(), "and" | "or");
-        let what = if after { Some("a signal behind it") } else { what };
-        format!("found {found}, expected {}", what.unwrap_or("and, or, or the end"))
+        let what = if after {
+            Some("a signal behind it")
+        } else {
+            what
+        };
+        format!(
+            "found {found}, expected {}",
+            what.unwrap_or("and, or, or the end")
+        )
     })?;
     sense(tree, groups)
 }
 
 fn sense(tree: Tree, groups: &[String]) -> Result<Condition, String> {
-    let many = |parts: Vec<Tree>| parts.into_iter().map(|p| sense(p, groups)).collect::<Result<Vec<_>, _>>();
+    let many = |parts: Vec<Tree>| {
+        parts
+            .into_iter()
+            .map(|p| sense(p, groups))
+            .collect::<Result<Vec<_>, _>>()
+    };
     Ok(match tree {
         Tree::All(parts) => Condition::All(many(parts)?),
         Tree::Any(parts) => Condition::Any(many(parts)?),
@@ -276,9 +328,13 @@
     let group = || {
         let Some(name) = w.group else { return Ok(None) };
         let place = groups.iter().position(|g| g == name);
-        place
-            .map(Some)
-            .ok_or_else(|| format!("{}: found '{name}', expected one of {}", w.signal, groups.join(", ")))
+        place.map(Some).ok_or_else(|| {
+            format!(
+                "{}: found '{name}', expected one of {}",
+                w.signal,
+                groups.join(", ")
+            )
+        })
     };
     let signal = match w.signal {
         "late" => Signal::Late(group()?),
@@ -298,7 +354,10 @@
         ))
         }
     };
-    let of_groups = matches!(signal, Signal::Late(_) | Signal::Failed(_) | Signal::Bounced(_));
+    let of_groups = matches!(
+        signal,
+        Signal::Late(_) | Signal::Failed(_) | Signal::Bounced(_)
+    );
     if !of_groups && w.group.is_some() {
         return Err(format!("{}: found a path group, expected none", w.signal));
     }
@@ -308,19 +367,38 @@
         (Unit::OfLimit, ["of", "limit"]) | (Unit::OfRoom, ["of", "room"]) => w.number,
         (Unit::Time, ["ms" | "s"]) => seconds(w.number, w.unit),
         (unit, _) => {
-            return Err(format!("{}: found '{} {}', expected {unit}", w.signal, w.number, w.unit));
+            return Err(format!(
+                "{}: found '{} {}', expected {unit}",
+                w.signal, w.number, w.unit
+            ));
         }
     };
-    let sensible = if w.above { edge < signal.most() } else { edge > 0.0 && edge <= signal.most() };
+    let sensible = if w.above {
+        edge < signal.most()
+    } else {
+        edge > 0.0 && edge <= signal.most()
+    };
     if !sensible {
         let side = if w.above { "above" } else { "below" };
-        return Err(format!("{}: can never be {side} {}", w.signal, signal.show(edge)));
+        return Err(format!(
+            "{}: can never be {side} {}",
+            w.signal,
+            signal.show(edge)
+        ));
     }
     let lasts = w.lasts.map_or(0.0, |(n, unit)| seconds(n, unit));
     if lasts > LASTS_MOST {
-        return Err(format!("{}: found for {lasts} s, expected {LASTS_MOST} s at most", w.signal));
+        return Err(format!(
+            "{}: found for {lasts} s, expected {LASTS_MOST} s at most",
+            w.signal
+        ));
     }
-    Ok(Test { signal, above: w.above, edge, lasts })
+    Ok(Test {
+        signal,
+        above: w.above,
+        edge,
+        lasts,
+    })
 }
 
 #[cfg(test)]
@@ -337,7 +415,14 @@
 
     #[test]
     fn conditions_are_read_as_written() {
-        let test = |signal, above, edge, lasts| Condition::Test(Test { signal, above, edge, lasts });
+        let test = |signal, above, edge, lasts| {
+            Condition::Test(Test {
+                signal,
+                above,
+                edge,
+                lasts,
+            })
+        };
         assert_eq!(
             read("late(pay) > 5% for 2s or waiting > 0.9 of room", &groups()),
             Ok(Condition::Any(vec![
@@ -362,7 +447,10 @@
             read("bounced( firing-read )<1%", &groups()),
             Ok(test(Signal::Bounced(Some(1)), false, 0.01, 0.0))
         );
-        assert_eq!(read("late > 5%", &groups()), Ok(test(Signal::Late(None), true, 0.05, 0.0)));
+        assert_eq!(
+            read("late > 5%", &groups()),
+            Ok(test(Signal::Late(None), true, 0.05, 0.0))
+        );
         // `and` binds more closely than `or`.
         let all = read("cpu > 50% or memory > 50% and descriptors > 50%", &groups()).expect("good");
         assert!(matches!(&all, Condition::Any(parts) if matches!(parts[1], Condition::All(_))));
@@ -375,17 +463,29 @@
             ("late(pay)", "expected above or below"),
             ("late(pay) > ", "found the end, expected a number"),
             ("late(pay) > 5% for", "found the end, expected"),
-            ("late(pay) > 5% and", "found 'and', expected a signal behind it"),
+            (
+                "late(pay) > 5% and",
+                "found 'and', expected a signal behind it",
+            ),
             ("(late(pay) > 5%", "expected a closing parenthesis"),
             ("late(pay) > 5% cpu > 1%", "found 'cpu > 1%'"),
             ("late() > 5%", "expected"),
-            ("late(odd) > 5%", "late: found 'odd', expected one of pay, firing-read"),
+            (
+                "late(odd) > 5%",
+                "late: found 'odd', expected one of pay, firing-read",
+            ),
             ("cpu(pay) > 5%", "cpu: found a path group, expected none"),
             ("load > 5%", "found 'load', expected late"),
-            ("late(pay) > 50ms", "late: found '50 ms', expected a share such as 5%"),
+            (
+                "late(pay) > 50ms",
+                "late: found '50 ms', expected a share such as 5%",
+            ),
             ("late(pay) > 0.05", "expected a share such as 5%"),
             ("in-flight > 90%", "expected a part such as 0.9 of limit"),
-            ("waiting > 0.9 of limit", "expected a part such as 0.9 of room"),
+            (
+                "waiting > 0.9 of limit",
+                "expected a part such as 0.9 of room",
+            ),
             ("queueing > 5%", "expected a time such as 200ms"),
             ("late(pay) > 100%", "late: can never be above 100.0%"),
             ("late(pay) < 0%", "late: can never be below 0.0%"),
--- a/crates/dispatch/src/changes.rs
+++ b/crates/dispatch/src/changes.rs
@@ -39,14 +39,24 @@
 pub fn bounds(values: &Values, groups: &[String]) -> Result<Vec<Bounds>, String> {
     let mut all = vec![None; groups.len()];
     for i in 0.. {
-        let Some(name) = text(values, &format!("hits.group.{i}.name")) else { break };
+        let Some(name) = text(values, &format!("hits.group.{i}.name")) else {
+            break;
+        };
         let Some(group) = groups.iter().position(|g| g == name) else {
-            return Err(format!("hits/group: found '{name}', expected one of {}", groups.join(", ")));
+            return Err(format!(
+                "hits/group: found '{name}', expected one of {}",
+                groups.join(", ")
+            ));
         };
         let of = |what: &str| number(values, &format!("hits.group.{i}.{what}")).unwrap_or(0.0);
-        let own = Bounds { most: of("most_forwards") as u32, longest: of("longest_forward_s") };
+        let own = Bounds {
+            most: of("most_forwards") as u32,
+            longest: of("longest_forward_s"),
+        };
         if all[group].replace(own).is_some() {
-            return Err(format!("hits/group: found '{name}' again, expected each once"));
+            return Err(format!(
+                "hits/group: found '{name}' again, expected each once"
+            ));
         }
     }
     Ok(all.into_iter().map(Option::unwrap_or_default).collect())
@@ -55,19 +65,35 @@
 /// How a change is watched under these values; where they say nothing, the schema's defaults, which stand nowhere
 /// else.
 pub fn care(values: &Values) -> Care {
-    let plain = Schema::own().check("<magpieline><watch/></magpieline>").unwrap_or_default();
+    let plain = Schema::own()
+        .check("<magpieline><watch/></magpieline>")
+        .unwrap_or_default();
     let of = |name: &str| {
         let name = format!("watch.{name}");
-        number(values, &name).or_else(|| number(&plain, &name)).unwrap_or_default()
+        number(values, &name)
+            .or_else(|| number(&plain, &name))
+            .unwrap_or_default()
     };
-    Care { false_undos: of("false_undos"), harm: of("harm"), least: of("least_s"), longest: of("longest_s") }
+    Care {
+        false_undos: of("false_undos"),
+        harm: of("harm"),
+        least: of("least_s"),
+        longest: of("longest_s"),
+    }
 }
 
 impl Changes {
     pub fn new(versions: Versions, groups: Vec<String>, seed: u64) -> Changes {
         let chance = ChaCha8Rng::seed_from_u64(seed);
         let usual = Usual::new(groups.len());
-        let mut changes = Changes { versions, groups, bounds: BTreeMap::new(), usual, watch: None, chance };
+        let mut changes = Changes {
+            versions,
+            groups,
+            bounds: BTreeMap::new(),
+            usual,
+            watch: None,
+            chance,
+        };
         changes.refresh();
         changes
     }
@@ -79,7 +105,10 @@
 
     /// Values of the version that runs.
     pub fn values(&self) -> Values {
-        self.versions.values(self.versions.running()).cloned().unwrap_or_default()
+        self.versions
+            .values(self.versions.running())
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Bounds of the versions that hits may be taken under.
@@ -89,7 +118,9 @@
         for number in [running, kept] {
             let values = self.versions.values(number).cloned().unwrap_or_default();
             let groups = &self.groups;
-            self.bounds.entry(number).or_insert_with(|| bounds(&values, groups).unwrap_or_default());
+            self.bounds
+                .entry(number)
+                .or_insert_with(|| bounds(&values, groups).unwrap_or_default());
         }
     }
 
@@ -99,7 +130,11 @@
         match step {
             // Watched by the stricter word of none: the version before says how its follower is watched.
             Step::Applied { .. } => {
-                let before = self.versions.values(self.versions.kept()).cloned().unwrap_or_default();
+                let before = self
+                    .versions
+                    .values(self.versions.kept())
+                    .cloned()
+                    .unwrap_or_default();
                 self.watch = Some(Watch::new(care(&before), &self.usual, now));
             }
             Step::Kept { .. } | Step::Undone { .. } => self.watch = None,
@@ -117,10 +152,26 @@
             old = watch.takes_old(now, draw);
             doubtful = watch.side_by_side();
         }
-        let version = if old { self.versions.kept() } else { self.versions.running() };
+        let version = if old {
+            self.versions.kept()
+        } else {
+            self.versions.running()
+        };
         self.versions.pin(version);
-        let bounds = self.bounds.get(&version).and_then(|b| b.get(group)).copied().unwrap_or_default();
-        (Pinned { version, old, doubtful }, bounds)
+        let bounds = self
+            .bounds
+            .get(&version)
+            .and_then(|b| b.get(group))
+            .copied()
+            .unwrap_or_default();
+        (
+            Pinned {
+                version,
+                old,
+                doubtful,
+            },
+            bounds,
+        )
     }
 
     /// A hit has its final answer: spoilt if it errored, was bounced or came late.
@@ -128,7 +179,8 @@
         match &mut self.watch {
             // Only of the two versions that are compared: one taken under a third was on its way before.
             Some(watch)
-                if pinned.version == self.versions.running() || pinned.version == self.versions.kept() =>
+                if pinned.version == self.versions.running()
+                    || pinned.version == self.versions.kept() =>
             {
                 // The kept version's hits from before the change speak for neither.
                 let before = !pinned.old && pinned.version == self.versions.kept();
@@ -157,7 +209,11 @@
     use super::*;
 
     fn changes() -> Changes {
-        Changes::new(Versions::new(Schema::own()), vec!["read".into(), "pay".into()], 1)
+        Changes::new(
+            Versions::new(Schema::own()),
+            vec!["read".into(), "pay".into()],
+            1,
+        )
     }
 
     fn step(c: &mut Changes, step: Result<Step, Refusal>) {
@@ -166,9 +222,14 @@
 
     /// Stages and applies a file that bounds reads to one forward.
     fn apply(c: &mut Changes, most: u32) -> u64 {
-        let text =
-            format!("<magpieline><hits><group name='read' most-forwards='{most}'/></hits></magpieline>");
-        let staged = c.versions.stage(&text, "ada", "", 0.0).expect("good").expect("new");
+        let text = format!(
+            "<magpieline><hits><group name='read' most-forwards='{most}'/></hits></magpieline>"
+        );
+        let staged = c
+            .versions
+            .stage(&text, "ada", "", 0.0)
+            .expect("good")
+            .expect("new");
         step(c, Ok(staged));
         let number = c.versions.all().map(|(v, ..)| v.number).max().expect("one");
         let applied = c.versions.apply(number, "ada", 0.0);
@@ -183,7 +244,10 @@
         let number = apply(&mut c, 1);
         let (after, bound) = c.take(0.1, 0);
         assert_eq!((before.version, free.most), (0, 0));
-        assert_eq!((after.version, bound.most, c.take(0.1, 1).1.most), (number, 1, 0));
+        assert_eq!(
+            (after.version, bound.most, c.take(0.1, 1).1.most),
+            (number, 1, 0)
+        );
         let undone = c.versions.undo("ada", "", 0.2);
         step(&mut c, undone);
         assert_eq!(c.take(0.3, 0).0.version, 0);
@@ -220,13 +284,25 @@
     fn groups_that_the_platform_does_not_have_are_refused() {
         let read = |text: &str| Schema::own().check(text).expect("a good file");
         let odd = read("<magpieline><hits><group name='odd'/></hits></magpieline>");
-        assert_eq!(changes().fits(&odd), Err("hits/group: found 'odd', expected one of read, pay".into()));
-        let twice = read("<magpieline><hits><group name='pay'/><group name='pay'/></hits></magpieline>");
+        assert_eq!(
+            changes().fits(&odd),
+            Err("hits/group: found 'odd', expected one of read, pay".into())
+        );
+        let twice =
+            read("<magpieline><hits><group name='pay'/><group name='pay'/></hits></magpieline>");
         assert!(changes().fits(&twice).is_err_and(|e| e.contains("again")));
         // The schema has a default for each.
-        let Care { false_undos, harm, least, longest } = care(&Values::new());
+        let Care {
+            false_undos,
+            harm,
+            least,
+            longest,
+        } = care(&Values::new());
         assert!([false_undos, harm, least].iter().all(|x| *x > 0.0) && longest > least);
-        assert_eq!(care(&read("<magpieline><watch harm='0.2'/></magpieline>")).harm, 0.2);
+        assert_eq!(
+            care(&read("<magpieline><watch harm='0.2'/></magpieline>")).harm,
+            0.2
+        );
     }
 
     /// A measurement, not a check of CI: `cargo test --release -p magpieline-sidecar cost_of -- --ignored --nocapture`.
--- a/crates/dispatch/src/crowd.rs
+++ b/crates/dispatch/src/crowd.rs
@@ -46,7 +46,14 @@
     /// A connection to a front, by the number that [`Crowd::join`] gave it.
     pub fn to(front: usize, heard: Rc<Cell<Option<Instant>>>) -> Visit {
         let (busy, known) = Default::default();
-        Visit { front, busy, known, since: Instant::now().into(), heard, evict: Notify::new() }
+        Visit {
+            front,
+            busy,
+            known,
+            since: Instant::now().into(),
+            heard,
+            evict: Notify::new(),
+        }
     }
 
     /// It has brought one.
@@ -70,7 +77,9 @@
     /// Until when a hit has to have come whole.
     fn due(&self) -> Instant {
         let idle = self.since.get() + IDLE;
-        self.heard.get().map_or(idle, |heard| idle.max(heard + PIECES))
+        self.heard
+            .get()
+            .map_or(idle, |heard| idle.max(heard + PIECES))
     }
 
     /// Ends once it is to go, to make room.
@@ -81,7 +90,11 @@
     /// Ends once no hit has come in time.
     pub async fn overdue(&self) {
         loop {
-            let due = if self.busy.get() { Instant::now() + IDLE } else { self.due() };
+            let due = if self.busy.get() {
+                Instant::now() + IDLE
+            } else {
+                self.due()
+            };
             if due <= Instant::now() {
                 return;
             }
@@ -134,7 +147,9 @@
     fn part(&self, front: usize, most: usize) -> usize {
         let fronts = self.fronts.borrow();
         let all: f64 = fronts.iter().map(|(weight, _)| weight).sum();
-        fronts.get(front).map_or(0, |(weight, _)| (most as f64 * weight / all) as usize)
+        fronts
+            .get(front)
+            .map_or(0, |(weight, _)| (most as f64 * weight / all) as usize)
     }
 
     /// Whether one more may be accepted at a front; if not, some are asked to go: those that never brought a hit first,
@@ -150,10 +165,25 @@
             return true;
         }
         let short = held.get(front).is_some_and(|h| *h < part(front));
-        let may_go = |v: &&Rc<Visit>| if short { held[v.front] > part(v.front) } else { v.front == front };
-        let strange = visits.values().filter(|v| !v.known.get() && v.waited(GREET)).filter(may_go);
-        let idle = visits.values().filter(|v| v.known.get() && v.waited(SHORT)).filter(may_go);
-        strange.chain(idle).take(AT_ONCE).for_each(|v| v.evict.notify_one());
+        let may_go = |v: &&Rc<Visit>| {
+            if short {
+                held[v.front] > part(v.front)
+            } else {
+                v.front == front
+            }
+        };
+        let strange = visits
+            .values()
+            .filter(|v| !v.known.get() && v.waited(GREET))
+            .filter(may_go);
+        let idle = visits
+            .values()
+            .filter(|v| v.known.get() && v.waited(SHORT))
+            .filter(may_go);
+        strange
+            .chain(idle)
+            .take(AT_ONCE)
+            .for_each(|v| v.evict.notify_one());
         false
     }
 
@@ -167,9 +197,15 @@
         if self.visits.borrow().len() >= self.ample {
             let visits = self.visits.borrow();
             let idle = visits.values().filter(|v| v.waited(BRIEF));
-            idle.min_by_key(|v| v.since.get()).into_iter().for_each(|v| v.evict.notify_one());
+            idle.min_by_key(|v| v.since.get())
+                .into_iter()
+                .for_each(|v| v.evict.notify_one());
         }
-        self.fronts.borrow_mut().get_mut(visit.front).into_iter().for_each(|f| f.1 += 1);
+        self.fronts
+            .borrow_mut()
+            .get_mut(visit.front)
+            .into_iter()
+            .for_each(|f| f.1 += 1);
         let (place, visit) = (self.next.get(), Rc::new(visit));
         self.next.set(place + 1);
         self.visits.borrow_mut().insert(place, visit.clone());
@@ -181,7 +217,10 @@
         let gone = self.visits.borrow_mut().remove(&place);
         let front = gone.map(|visit| visit.front);
         let mut fronts = self.fronts.borrow_mut();
-        front.and_then(|f| fronts.get_mut(f)).into_iter().for_each(|f| f.1 = f.1.saturating_sub(1));
+        front
+            .and_then(|f| fronts.get_mut(f))
+            .into_iter()
+            .for_each(|f| f.1 = f.1.saturating_sub(1));
     }
 
     pub fn len(&self) -> usize {
@@ -194,8 +233,15 @@
     use super::*;
 
     fn run<F: std::future::Future>(test: F) -> F::Output {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
-        runtime.block_on(async { tokio::time::timeout(Duration::from_secs(5), test).await.expect("in time") })
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_time()
+            .build()
+            .expect("a runtime");
+        runtime.block_on(async {
+            tokio::time::timeout(Duration::from_secs(5), test)
+                .await
+                .expect("in time")
+        })
     }
 
     #[test]
@@ -209,13 +255,17 @@
         assert!(crowd.room(0, usize::MAX));
         let (place, stranger) = crowd.enter(visit());
         assert!(!crowd.room(0, usize::MAX));
-        let long_ago = Instant::now().checked_sub(2 * SHORT).expect("a clock that has run");
+        let long_ago = Instant::now()
+            .checked_sub(2 * SHORT)
+            .expect("a clock that has run");
         stranger.since.set(long_ago);
         assert!(!crowd.room(0, usize::MAX));
         run(stranger.evict.notified());
         stranger.known.set(true);
         stranger.wait();
-        [&busy, &idle].iter().for_each(|visit| visit.since.set(long_ago));
+        [&busy, &idle]
+            .iter()
+            .for_each(|visit| visit.since.set(long_ago));
         assert!(!crowd.room(0, usize::MAX));
         run(idle.evict.notified());
         crowd.leave(place);
@@ -238,10 +288,17 @@
         }
         assert_eq!(second.len(), 12);
         second.drain(..).for_each(|(place, _)| crowd.leave(place));
-        assert!(!crowd.room(0, usize::MAX), "what the other is sure of stays free for it");
+        assert!(
+            !crowd.room(0, usize::MAX),
+            "what the other is sure of stays free for it"
+        );
         // A bound that shrinks leaves one with more than its part: that one's idle ones go when the other asks.
-        let long_ago = Instant::now().checked_sub(2 * SHORT).expect("a clock that has run");
-        first.iter().for_each(|(_, visit)| visit.since.set(long_ago));
+        let long_ago = Instant::now()
+            .checked_sub(2 * SHORT)
+            .expect("a clock that has run");
+        first
+            .iter()
+            .for_each(|(_, visit)| visit.since.set(long_ago));
         assert!(!crowd.room(other, 4));
         run(first[0].1.evict.notified());
     }
@@ -250,11 +307,21 @@
     #[test]
     fn who_asks_once_and_stays_gives_way_to_new_clients() {
         let (crowd, visit) = (Crowd::new(12), || Visit::new(Rc::default()));
-        let all = [crowd.enter(visit()).1, crowd.enter(visit()).1, crowd.enter(visit()).1];
+        let all = [
+            crowd.enter(visit()).1,
+            crowd.enter(visit()).1,
+            crowd.enter(visit()).1,
+        ];
         all.iter().for_each(|v| v.brought());
         all[1..].iter().for_each(|v| v.wait());
-        let ago = |n| Instant::now().checked_sub(n * BRIEF).expect("a clock that has run");
-        all.iter().zip([9, 2, 3]).for_each(|(v, n)| v.since.set(ago(n)));
+        let ago = |n| {
+            Instant::now()
+                .checked_sub(n * BRIEF)
+                .expect("a clock that has run")
+        };
+        all.iter()
+            .zip([9, 2, 3])
+            .for_each(|(v, n)| v.since.set(ago(n)));
         crowd.enter(visit());
         run(all[2].evict.notified());
         run(async {
