--- a/crates/dispatch/src/end.rs
+++ b/crates/dispatch/src/end.rs
@@ -79,6 +79,7 @@
             (End::Nowhere, Ending::NeverSent),
             (End::Busy, Ending::TurnedAway),
         ];
-        all.into_iter().for_each(|(end, means)| assert_eq!(end.ending(), means, "{end:?}"));
+        all.into_iter()
+            .for_each(|(end, means)| assert_eq!(end.ending(), means, "{end:?}"));
     }
 }
--- a/crates/dispatch/src/exchange.rs
+++ b/crates/dispatch/src/exchange.rs
@@ -142,7 +142,9 @@
 
 /// Unix time, in seconds.
 pub fn unix() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |d| d.as_secs_f64())
 }
 
 /// Unix time, going on from the start by the monotonic clock: nodes' starts are on the same scale.
@@ -153,7 +155,10 @@
 
 impl Clock {
     fn start() -> Clock {
-        Clock { origin: unix(), begun: Instant::now() }
+        Clock {
+            origin: unix(),
+            begun: Instant::now(),
+        }
     }
 
     fn now(&self) -> f64 {
@@ -199,7 +204,9 @@
 /// This program has no way to talk to other agents: it decides as where the settings forbid it.
 fn alone(named: &mut Named) {
     if named.insert("limits.peers".into(), Value::Flag(false)) == Some(Value::Flag(true)) {
-        log::info!("settings: limits.peers: this agent does not talk to others and judges for itself");
+        log::info!(
+            "settings: limits.peers: this agent does not talk to others and judges for itself"
+        );
     }
 }
 
@@ -272,7 +279,9 @@
         if let Place::Waits(number, _) = &self.place {
             self.exchange.waits_no_more(*number);
         }
-        self.handle().into_iter().for_each(|handle| self.exchange.left(handle));
+        self.handle()
+            .into_iter()
+            .for_each(|handle| self.exchange.left(handle));
     }
 
     /// The hit, if the decisions know it.
@@ -302,14 +311,22 @@
         looks: Option<Looks>,
         ways: Ways,
     ) -> Result<Exchange, String> {
-        let Told { mut named, groups, accounts, zones, zone } = Told::read(info)?;
+        let Told {
+            mut named,
+            groups,
+            accounts,
+            zones,
+            zone,
+        } = Told::read(info)?;
         named.extend(chosen.named.clone());
         alone(&mut named);
         let repeat = |name: &str| match named.get(name) {
             Some(Value::Text(word)) => Some(word.clone()),
             _ => None,
         };
-        let repeats = (0..).map_while(|i| repeat(&format!("classes.{i}.repeat"))).collect();
+        let repeats = (0..)
+            .map_while(|i| repeat(&format!("classes.{i}.repeat")))
+            .collect();
         let targets = targets(&named);
         let clock = Clock::start();
         let balancer = Balancer::start(seed, clock.now(), zone, named)?;
@@ -355,7 +372,12 @@
         if *self.settings.borrow() == *info {
             return Ok(false);
         }
-        let Told { mut named, groups, accounts, .. } = Told::read(info)?;
+        let Told {
+            mut named,
+            groups,
+            accounts,
+            ..
+        } = Told::read(info)?;
         let order = |what: &str, old: &Door, new: &Door| match (0..old.len().max(new.len()))
             .find(|i| old.word(*i) != new.word(*i))
         {
@@ -370,7 +392,10 @@
         order("accounts", &self.accounts, &accounts)?;
         alone(&mut named);
         let targets = targets(&named);
-        self.state.borrow_mut().balancer.settle(self.clock.now(), named)?;
+        self.state
+            .borrow_mut()
+            .balancer
+            .settle(self.clock.now(), named)?;
         self.targets.replace(targets);
         self.settings.replace(info.clone());
         Ok(true)
@@ -436,7 +461,11 @@
     /// The way to a node of this name.
     pub fn way(&self, uid: &str) -> Option<Rc<dyn Way>> {
         let state = self.state.borrow();
-        state.nodes.known(uid).and_then(|place| state.nodes.reach(place)).cloned()
+        state
+            .nodes
+            .known(uid)
+            .and_then(|place| state.nodes.reach(place))
+            .cloned()
     }
 
     /// Whether the own machine has the list as soon as there is one; else discovery is asked.
@@ -463,15 +492,29 @@
             if !state.ids.insert(load.id) {
                 return None;
             }
-            let Arrival { group, account, remaining, .. } = arrival;
-            state.levels.as_mut().map_or(LevelDoor::Go, |l| l.take(now, group, account, remaining))
+            let Arrival {
+                group,
+                account,
+                remaining,
+                ..
+            } = arrival;
+            state
+                .levels
+                .as_mut()
+                .map_or(LevelDoor::Go, |l| l.take(now, group, account, remaining))
         };
         let (sender, answer) = oneshot::channel();
         let place = match door {
             LevelDoor::Go => Place::Held(self.hand_on(arrival, now, now, load, sender)),
             LevelDoor::Wait { number, at_most } => {
                 let place = Rc::new(Cell::new(None));
-                let waiting = Waiting { arrival, taken: now, load, answer: sender, place: place.clone() };
+                let waiting = Waiting {
+                    arrival,
+                    taken: now,
+                    load,
+                    answer: sender,
+                    place: place.clone(),
+                };
                 self.state.borrow_mut().waiting.insert(number, waiting);
                 let own = self.clone();
                 tokio::task::spawn_local(async move {
@@ -486,7 +529,12 @@
                 Place::Over
             }
         };
-        Some(Ticket { exchange: self.clone(), place, answer, answered: false })
+        Some(Ticket {
+            exchange: self.clone(),
+            place,
+            answer,
+            answered: false,
+        })
     }
 
     /// Hands a hit that came at `taken` to the decisions, and carries out what they say.
@@ -520,7 +568,15 @@
                 state.held.resize_with(place + 1, || None);
             }
             let (load, answer) = (Rc::new(load), Some(answer));
-            state.held[place] = Some(Held { handle, load, answer, group, taken, forwarded: None, pinned });
+            state.held[place] = Some(Held {
+                handle,
+                load,
+                answer,
+                group,
+                taken,
+                forwarded: None,
+                pinned,
+            });
             (handle, next)
         };
         self.carry_out(handle, next);
@@ -536,15 +592,32 @@
                 let Some(number) = number else { return };
                 state.waiting.remove(&number)
             };
-            let Some(Waiting { arrival, taken, load, answer, place }) = waiting else { continue };
-            place.set(Some(self.hand_on(arrival, taken, self.clock.now(), load, answer)));
+            let Some(Waiting {
+                arrival,
+                taken,
+                load,
+                answer,
+                place,
+            }) = waiting
+            else {
+                continue;
+            };
+            place.set(Some(self.hand_on(
+                arrival,
+                taken,
+                self.clock.now(),
+                load,
+                answer,
+            )));
         }
     }
 
     /// A hit that still waits has waited long enough, or its client has left: it is answered at once, it never ran.
     fn waits_no_more(&self, number: u64) {
         let state = &mut *self.state.borrow_mut();
-        let Some(waiting) = state.waiting.remove(&number) else { return };
+        let Some(waiting) = state.waiting.remove(&number) else {
+            return;
+        };
         state.levels.iter_mut().for_each(|l| l.gone(number));
         state.ids.remove(&waiting.load.id);
         let again_after = state.levels.as_mut().map_or(0.0, Levels::again_after);
@@ -588,11 +661,23 @@
     /// Gives the final answer; a second one finds nobody.
     fn answer(&self, handle: HitHandle, answer: Answer) {
         let state = &mut *self.state.borrow_mut();
-        let held = state.held.get_mut(handle.place as usize).and_then(Option::as_mut);
-        let Some(held) = held.filter(|h| h.handle == handle) else { return };
-        let Some(sender) = held.answer.take() else { return };
+        let held = state
+            .held
+            .get_mut(handle.place as usize)
+            .and_then(Option::as_mut);
+        let Some(held) = held.filter(|h| h.handle == handle) else {
+            return;
+        };
+        let Some(sender) = held.answer.take() else {
+            return;
+        };
         let (pinned, now, group) = (held.pinned, self.clock.now(), held.group);
-        let target = self.targets.borrow().get(group).copied().unwrap_or(f64::INFINITY);
+        let target = self
+            .targets
+            .borrow()
+            .get(group)
+            .copied()
+            .unwrap_or(f64::INFINITY);
         let spent = now - held.taken;
         // One whose client has left says nothing of service.
         let fate = match answer {
@@ -607,7 +692,16 @@
         }
         if let Some(levels) = &mut state.levels {
             let waited = held.forwarded.map(|at| at - held.taken);
-            levels.ended(now, Ended { group, fate, spent, part: spent / target, waited });
+            levels.ended(
+                now,
+                Ended {
+                    group,
+                    fate,
+                    spent,
+                    part: spent / target,
+                    waited,
+                },
+            );
         }
         let _ = sender.send(answer); // the client may have left
     }
@@ -631,7 +725,10 @@
     fn forward(self: &Rc<Self>, handle: HitHandle, node: usize, limit: f64) {
         let (way, load) = {
             let state = &mut *self.state.borrow_mut();
-            let held = state.held.get_mut(handle.place as usize).and_then(Option::as_mut);
+            let held = state
+                .held
+                .get_mut(handle.place as usize)
+                .and_then(Option::as_mut);
             let load = held.map(|h| {
                 // Only levels ask for it.
                 if state.levels.is_some() && h.forwarded.is_none() {
@@ -646,9 +743,9 @@
             let begun = Instant::now();
             let limit = time(limit);
             let end = match (way, load) {
-                (Some(way), Some(load)) => {
-                    guarded("forward", way.forward(load, limit)).await.unwrap_or(End::Fault)
-                }
+                (Some(way), Some(load)) => guarded("forward", way.forward(load, limit))
+                    .await
+                    .unwrap_or(End::Fault),
                 _ => End::Nowhere,
             };
             own.returned(handle, end, begun.elapsed());
@@ -666,7 +763,11 @@
             self.answer(handle, Answer::Delivered { kind, body });
         }
         let over = ending == Ending::Delivered;
-        let end = Return { ending, spent: spent.as_secs_f64(), over };
+        let end = Return {
+            ending,
+            spent: spent.as_secs_f64(),
+            over,
+        };
         let next = self.ask(|b, now| handle.returned(b, now, end));
         self.carry_out(handle, next);
         self.let_in();
@@ -680,8 +781,16 @@
         let mut listed = Vec::with_capacity(lines.len());
         for line in lines {
             let node = state.nodes.index(&line.uid);
-            listed.push(Listed { node, ..line.listed });
-            let process = (line.listed.build, line.listed.up_since, line.address, line.listed.speaks);
+            listed.push(Listed {
+                node,
+                ..line.listed
+            });
+            let process = (
+                line.listed.build,
+                line.listed.up_since,
+                line.address,
+                line.listed.speaks,
+            );
             if line.gone {
                 state.nodes.set(node, None); // its idle connections close
             } else if state.nodes.is_new(node, process) {
@@ -692,23 +801,39 @@
         }
         if whole {
             let absent = |place: &usize| !listed.iter().any(|l| l.node == *place);
-            state.nodes.reaches().enumerate().filter(|(i, _)| absent(i)).for_each(|(_, reach)| *reach = None);
+            state
+                .nodes
+                .reaches()
+                .enumerate()
+                .filter(|(i, _)| absent(i))
+                .for_each(|(_, reach)| *reach = None);
         }
         // An old list without nodes is as good as none.
         state.listed |= fresh || !listed.is_empty();
-        state.balancer.listed(self.clock.now(), whole, fresh, &listed);
+        state
+            .balancer
+            .listed(self.clock.now(), whole, fresh, &listed);
     }
 
     pub fn list_failed(&self) {
         self.follow.take_back();
-        self.state.borrow_mut().balancer.list_failed(self.clock.now());
+        self.state
+            .borrow_mut()
+            .balancer
+            .list_failed(self.clock.now());
     }
 
     pub fn heard(&self, news: News) {
         let state = &mut *self.state.borrow_mut();
         let stands = (news.build, news.stage, news.phase);
         if state.news.replace(stands) != Some(stands) {
-            log::info!("news: build {} stage {} {:?}, cap {}", news.build, news.stage, news.phase, news.cap);
+            log::info!(
+                "news: build {} stage {} {:?}, cap {}",
+                news.build,
+                news.stage,
+                news.phase,
+                news.cap
+            );
         }
         state.balancer.heard(self.clock.now(), news);
     }
@@ -716,7 +841,10 @@
     /// The platform's count of a build's forwards in a path group; one that is not known here says nothing.
     pub fn tallied(&self, group: &str, tally: Tally) {
         if self.group(group).is_some() {
-            self.state.borrow_mut().balancer.tallied(self.clock.now(), tally);
+            self.state
+                .borrow_mut()
+                .balancer
+                .tallied(self.clock.now(), tally);
         }
     }
 
@@ -758,7 +886,10 @@
             let (review, against) = {
                 let balancer = &mut self.state.borrow_mut().balancer;
                 let review = balancer.review(now);
-                (review, review.vote.map(|_| balancer.against()).unwrap_or_default())
+                (
+                    review,
+                    review.vote.map(|_| balancer.against()).unwrap_or_default(),
+                )
             };
             if review.vote.is_some() || now >= recorded + RECORD_EVERY {
                 recorded = now;
@@ -779,21 +910,45 @@
         let state = self.state.borrow();
         let looks = self.looks.borrow();
         let parts = looks.as_ref().zip(state.balancer.look()).zip(state.news);
-        let Some(((keep, look), (build, stage, phase))) = parts else { return };
-        let (vote, phase) = (vote.map(|v| format!("{:?}", v.verdict)), format!("{phase:?}"));
+        let Some(((keep, look), (build, stage, phase))) = parts else {
+            return;
+        };
+        let (vote, phase) = (
+            vote.map(|v| format!("{:?}", v.verdict)),
+            format!("{phase:?}"),
+        );
         let entries = state.balancer.account();
         let named = |node: usize| Some((node, state.nodes.uid(node)?.to_owned()));
         let nodes = entries.iter().filter_map(|e| named(e.without?)).collect();
         let groups = self.group_names();
-        keep(&Looked { at, build, stage, phase, vote, look, entries, groups, nodes });
+        keep(&Looked {
+            at,
+            build,
+            stage,
+            phase,
+            vote,
+            look,
+            entries,
+            groups,
+            nodes,
+        });
     }
 
     async fn cast(self: Rc<Self>, desk: Rc<dyn Desk>, vote: Vote, against: String) {
         let cast = guarded("vote", desk.cast(vote)).await;
         let (receipt, news) = cast.unwrap_or((Receipt::Unknown, None));
-        let Vote { verdict, build, stage } = vote;
-        log::info!("vote: {verdict:?} on build {build} stage {stage}: {receipt:?} (against it: {against})");
-        self.state.borrow_mut().balancer.vote_received(self.clock.now(), receipt);
+        let Vote {
+            verdict,
+            build,
+            stage,
+        } = vote;
+        log::info!(
+            "vote: {verdict:?} on build {build} stage {stage}: {receipt:?} (against it: {against})"
+        );
+        self.state
+            .borrow_mut()
+            .balancer
+            .vote_received(self.clock.now(), receipt);
         if let Some(news) = news {
             self.heard(news);
         }
@@ -812,7 +967,12 @@
 
     /// Takes the levels of these values, all of them, and none where there are none; an error lists all that makes no
     /// sense here, and nothing has changed. `last`: the last change that a journal holds, and how long ago it held.
-    pub fn set_levels(&self, values: &Values, seed: u64, last: Option<(&Change, f64)>) -> Result<(), String> {
+    pub fn set_levels(
+        &self,
+        values: &Values,
+        seed: u64,
+        last: Option<(&Change, f64)>,
+    ) -> Result<(), String> {
         let (ladder, now) = (self.ladder(values)?, self.clock.now());
         let here = Installation {
             benefits: self.state.borrow().balancer.benefits(),
@@ -851,7 +1011,9 @@
 
     fn level_changed(&self, state: &mut State, change: Option<Change>) {
         let Some(change) = change else { return };
-        let Change { from, to, because, .. } = &change;
+        let Change {
+            from, to, because, ..
+        } = &change;
         log::warn!(level = to.as_str(), from = from.as_str(); "level: {from} -> {to}: {because}");
         state.balancer.other_hits(self.clock.now());
         if let Some(changed) = &*self.changed.borrow() {
@@ -875,25 +1037,39 @@
     /// A reading of the program itself, as a part of what it may use.
     pub fn reading(&self, what: Reading, value: f64) {
         let now = self.clock.now();
-        self.state.borrow_mut().levels.iter_mut().for_each(|l| l.read(now, what, value));
+        self.state
+            .borrow_mut()
+            .levels
+            .iter_mut()
+            .for_each(|l| l.read(now, what, value));
     }
 
     /// How the levels stand, and the changes that are remembered; nothing where there are none.
     pub fn levels(&self) -> Option<(Stands, Vec<Change>)> {
         let state = self.state.borrow();
         let levels = state.levels.as_ref()?;
-        Some((levels.stands(self.clock.now()), levels.changes().cloned().collect()))
+        Some((
+            levels.stands(self.clock.now()),
+            levels.changes().cloned().collect(),
+        ))
     }
 
     /// The level that holds; nothing where there are none.
     pub fn level(&self) -> Option<String> {
-        self.state.borrow().levels.as_ref().map(|l| l.name().to_owned())
+        self.state
+            .borrow()
+            .levels
+            .as_ref()
+            .map(|l| l.name().to_owned())
     }
 
     /// Holds a level by hand for so many seconds.
     pub fn hold_level(&self, name: &str, seconds: f64, who: &str) -> Result<(), String> {
         let state = &mut *self.state.borrow_mut();
-        let levels = state.levels.as_mut().ok_or("levels: the operators' file names none")?;
+        let levels = state
+            .levels
+            .as_mut()
+            .ok_or("levels: the operators' file names none")?;
         let change = levels.hold(self.clock.now(), name, seconds, who)?;
         self.level_changed(state, change);
         Ok(())
@@ -902,7 +1078,10 @@
     /// Conditions decide again from now on.
     pub fn release_level(&self, who: &str) -> Result<(), String> {
         let state = &mut *self.state.borrow_mut();
-        let levels = state.levels.as_mut().ok_or("levels: the operators' file names none")?;
+        let levels = state
+            .levels
+            .as_mut()
+            .ok_or("levels: the operators' file names none")?;
         if levels.release(who) {
             Ok(())
         } else {
@@ -912,7 +1091,12 @@
 
     /// How many connections clients may hold now.
     pub fn clients_bound(&self, crowd: &Crowd) -> usize {
-        let part = self.state.borrow().levels.as_ref().map_or(1.0, Levels::connections);
+        let part = self
+            .state
+            .borrow()
+            .levels
+            .as_ref()
+            .map_or(1.0, Levels::connections);
         let bound = self.clients_most.get().min(crowd.most());
         if part < 1.0 {
             (bound as f64 * part).ceil().max(1.0) as usize
@@ -938,7 +1122,11 @@
     }
 
     fn group_names(&self) -> Vec<String> {
-        let name = |i: usize| Some(self.groups.word(i)).filter(|w| !w.is_empty()).map(str::to_owned);
+        let name = |i: usize| {
+            Some(self.groups.word(i))
+                .filter(|w| !w.is_empty())
+                .map(str::to_owned)
+        };
         (0..).map_while(name).collect()
     }
 
@@ -955,9 +1143,13 @@
     /// than before.
     pub fn adopt(&self, step: &Step) -> Result<Option<Values>, String> {
         let state = &mut *self.state.borrow_mut();
-        let Some(changes) = &mut state.changes else { return Err("changes are not enabled".into()) };
+        let Some(changes) = &mut state.changes else {
+            return Err("changes are not enabled".into());
+        };
         let before = changes.versions.running();
-        changes.adopt(self.clock.now(), step).map_err(|refusal| refusal.to_string())?;
+        changes
+            .adopt(self.clock.now(), step)
+            .map_err(|refusal| refusal.to_string())?;
         Ok((changes.versions.running() != before).then(|| changes.values()))
     }
 
@@ -971,7 +1163,10 @@
     /// What the watch of a change says now.
     pub fn look_at_change(&self) -> watch::Next {
         let state = &mut *self.state.borrow_mut();
-        state.changes.as_mut().map_or(watch::Next::GoOn, |c| c.look(self.clock.now()))
+        state
+            .changes
+            .as_mut()
+            .map_or(watch::Next::GoOn, |c| c.look(self.clock.now()))
     }
 
     // Start and stop.
@@ -1015,15 +1210,32 @@
     }
 
     fn run<F: std::future::Future>(test: F) -> F::Output {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_time()
+            .build()
+            .expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, test)
     }
 
     /// The line of a node by its port.
     fn entry(port: u16, build: u32, open: bool) -> Entry {
-        let listed = Listed { node: 0, open, build, zone: 0, cell: 0, rating: 1.0, up_since: 0.0, speaks: 0 };
+        let listed = Listed {
+            node: 0,
+            open,
+            build,
+            zone: 0,
+            cell: 0,
+            rating: 1.0,
+            up_since: 0.0,
+            speaks: 0,
+        };
         let address = SocketAddr::from(([127, 0, 0, 1], port));
-        Entry { uid: port.to_string(), listed, address, gone: false }
+        Entry {
+            uid: port.to_string(),
+            listed,
+            address,
+            gone: false,
+        }
     }
 
     #[test]
@@ -1049,17 +1261,33 @@
         run(async {
             let exchange = exchange();
             exchange.listed(true, true, vec![entry(1, 1, true)]);
-            let arrival = Arrival { remaining: 0.2, ..Arrival::default() };
-            let load = || Load { id: 7, head: Box::new(()), body: Bytes::new() };
+            let arrival = Arrival {
+                remaining: 0.2,
+                ..Arrival::default()
+            };
+            let load = || Load {
+                id: 7,
+                head: Box::new(()),
+                body: Bytes::new(),
+            };
             let mut ticket = exchange.take(arrival, load()).expect("a hit");
-            assert!(exchange.take(arrival, load()).is_none(), "its id is in hand");
+            assert!(
+                exchange.take(arrival, load()).is_none(),
+                "its id is in hand"
+            );
             let handle = ticket.handle().expect("the decisions know it");
             exchange.answer(handle, Answer::Bounced { again_after: 0.5 });
             exchange.answer(handle, Answer::Failed);
-            assert!(matches!(ticket.answer().await, Answer::Bounced { again_after: 0.5 }));
+            assert!(matches!(
+                ticket.answer().await,
+                Answer::Bounced { again_after: 0.5 }
+            ));
             tokio::time::sleep(Duration::from_millis(300)).await;
             assert!(exchange.idle());
-            assert!(exchange.take(arrival, load()).is_some(), "its id is free again");
+            assert!(
+                exchange.take(arrival, load()).is_some(),
+                "its id is free again"
+            );
         });
     }
 
@@ -1072,7 +1300,10 @@
             seen.set(seen.get() + 1);
             Box::pin(async move {
                 tokio::time::sleep(after).await;
-                End::Answered { kind: None, body: Bytes::new() }
+                End::Answered {
+                    kind: None,
+                    body: Bytes::new(),
+                }
             })
         }
     }
@@ -1092,30 +1323,57 @@
         let seen: [Rc<Cell<u32>>; 2] = Default::default();
         let both = seen.clone();
         let ways: Ways = Box::new(move |address, _| {
-            let way = Answers(both[usize::from(address.port() - 1)].clone(), Duration::from_millis(20));
+            let way = Answers(
+                both[usize::from(address.port() - 1)].clone(),
+                Duration::from_millis(20),
+            );
             Ok(Rc::new(way))
         });
-        let exchange = Rc::new(Exchange::new(1, &info, &Chosen::default(), None, ways).expect("an exchange"));
+        let exchange =
+            Rc::new(Exchange::new(1, &info, &Chosen::default(), None, ways).expect("an exchange"));
         exchange.listed(true, true, vec![entry(1, 1, true), entry(2, 2, true)]);
-        exchange.heard(News { build: 2, stage: 1, phase: Phase::Trial, since: 0.0, cap: 0.9 });
-        let values =
-            magpieline_operator_config::Schema::own().check(&LEVELS.replace("WAIT", wait)).expect("good");
-        exchange.set_levels(&values, 1, None).expect("it makes sense");
+        exchange.heard(News {
+            build: 2,
+            stage: 1,
+            phase: Phase::Trial,
+            since: 0.0,
+            cap: 0.9,
+        });
+        let values = magpieline_operator_config::Schema::own()
+            .check(&LEVELS.replace("WAIT", wait))
+            .expect("good");
+        exchange
+            .set_levels(&values, 1, None)
+            .expect("it makes sense");
         (exchange, seen)
     }
 
     fn read(id: u64) -> Load {
-        Load { id, head: Box::new(()), body: Bytes::new() }
+        Load {
+            id,
+            head: Box::new(()),
+            body: Bytes::new(),
+        }
     }
 
     fn arrival(group: usize) -> Arrival {
-        Arrival { group, remaining: 1.5, ..Arrival::default() }
+        Arrival {
+            group,
+            remaining: 1.5,
+            ..Arrival::default()
+        }
     }
 
     /// So that the level's rules are in force.
     fn held(exchange: &Exchange) {
         exchange.hold_level("busy", 60.0, "ada").expect("held");
-        exchange.state.borrow_mut().levels.as_mut().expect("levels").look(exchange.clock.now());
+        exchange
+            .state
+            .borrow_mut()
+            .levels
+            .as_mut()
+            .expect("levels")
+            .look(exchange.clock.now());
     }
 
     /// Hits that a level lets in none of are answered at once, the decisions see nothing of them, and their ids are
@@ -1127,9 +1385,12 @@
             held(&exchange);
             for _ in 0..3 {
                 let mut ticket = exchange.take(arrival(0), read(7)).expect("its id is free");
-                let answer = tokio::time::timeout(Duration::from_millis(500), ticket.answer()).await;
+                let answer =
+                    tokio::time::timeout(Duration::from_millis(500), ticket.answer()).await;
                 match answer.expect("at once") {
-                    Answer::Bounced { again_after } => assert!(again_after > 0.0 && again_after <= 9.0),
+                    Answer::Bounced { again_after } => {
+                        assert!(again_after > 0.0 && again_after <= 9.0)
+                    }
                     _ => panic!("let in"),
                 }
             }
@@ -1152,7 +1413,11 @@
                 let exchange = exchange.clone();
                 async move {
                     for id in from..from + 60 {
-                        exchange.state.borrow_mut().balancer.review(exchange.clock.now());
+                        exchange
+                            .state
+                            .borrow_mut()
+                            .balancer
+                            .review(exchange.clock.now());
                         let mut ticket = exchange.take(arrival(1), read(id)).expect("taken");
                         ticket.answer().await;
                     }
@@ -1179,24 +1444,48 @@
             let (exchange, seen) = levelled("most-waiting='2' longest-wait-s='0.2'");
             held(&exchange);
             // No room: the limit is in flight, of another path group.
-            let many = exchange.state.borrow().levels.as_ref().expect("levels").stands(0.0).limit as usize;
+            let many = exchange
+                .state
+                .borrow()
+                .levels
+                .as_ref()
+                .expect("levels")
+                .stands(0.0)
+                .limit as usize;
             let each = |what: &dyn Fn(&mut Levels)| {
                 let mut state = exchange.state.borrow_mut();
                 (0..many).for_each(|_| what(state.levels.as_mut().expect("levels")));
             };
-            let occupy = |l: &mut Levels| assert_eq!(l.take(exchange.now(), 1, 0, 1.0), LevelDoor::Go);
-            let ended = Ended { group: 1, fate: None, spent: 0.0, part: 0.0, waited: None };
+            let occupy =
+                |l: &mut Levels| assert_eq!(l.take(exchange.now(), 1, 0, 1.0), LevelDoor::Go);
+            let ended = Ended {
+                group: 1,
+                fate: None,
+                spent: 0.0,
+                part: 0.0,
+                waited: None,
+            };
             each(&occupy);
             let mut waits = exchange.take(arrival(0), read(1)).expect("taken");
             let leaves = exchange.take(arrival(0), read(2)).expect("taken");
             let mut third = exchange.take(arrival(0), read(3)).expect("taken");
-            assert!(matches!(third.answer().await, Answer::Bounced { .. }), "no more than two wait");
-            assert!(exchange.take(arrival(0), read(1)).is_none(), "its id is in hand");
+            assert!(
+                matches!(third.answer().await, Answer::Bounced { .. }),
+                "no more than two wait"
+            );
+            assert!(
+                exchange.take(arrival(0), read(1)).is_none(),
+                "its id is in hand"
+            );
             drop(leaves);
             assert_eq!(exchange.state.borrow().waiting.len(), 1);
             let begun = Instant::now();
             assert!(matches!(waits.answer().await, Answer::Bounced { .. }));
-            assert!((150..3000).contains(&begun.elapsed().as_millis()), "{:?}", begun.elapsed());
+            assert!(
+                (150..3000).contains(&begun.elapsed().as_millis()),
+                "{:?}",
+                begun.elapsed()
+            );
             assert!(exchange.idle() && exchange.state.borrow().ids.is_empty());
             assert_eq!(seen[0].get(), 0);
             // Room again: one that waits goes on at the next look.
@@ -1218,11 +1507,17 @@
     #[test]
     fn levels_that_make_no_sense_here_are_refused_whole() {
         let (exchange, _) = levelled("");
-        let odd = LEVELS.replace("WAIT", "").replace("late(pay) > 50%", "late(odd) > 50%");
-        let values = magpieline_operator_config::Schema::own().check(&odd).expect("good by the schema");
+        let odd = LEVELS
+            .replace("WAIT", "")
+            .replace("late(pay) > 50%", "late(odd) > 50%");
+        let values = magpieline_operator_config::Schema::own()
+            .check(&odd)
+            .expect("good by the schema");
         let told = exchange.set_levels(&values, 1, None).expect_err("refused");
         assert!(
-            told.contains("levels: level 'busy': enter: late: found 'odd', expected one of read, pay"),
+            told.contains(
+                "levels: level 'busy': enter: late: found 'odd', expected one of read, pay"
+            ),
             "{told}"
         );
         assert!(exchange.fits_here(&values).is_err());
@@ -1254,11 +1549,20 @@
                 .hold(Versions::new(magpieline_operator_config::Schema::own()), 1)
                 .expect("nothing chosen");
             for id in 0..100 {
-                exchange.take(arrival(1), read(id)).expect("taken").answer().await;
+                exchange
+                    .take(arrival(1), read(id))
+                    .expect("taken")
+                    .answer()
+                    .await;
             }
-            let text = "<magpieline><hits><group name='pay' most-forwards='2'/></hits></magpieline>";
-            let staged =
-                exchange.changes(|c| c.versions.stage(text, "ada", "", 0.0).expect("good").expect("new"));
+            let text =
+                "<magpieline><hits><group name='pay' most-forwards='2'/></hits></magpieline>";
+            let staged = exchange.changes(|c| {
+                c.versions
+                    .stage(text, "ada", "", 0.0)
+                    .expect("good")
+                    .expect("new")
+            });
             exchange.adopt(&staged.expect("enabled")).expect("staged");
             let applied = exchange.changes(|c| c.versions.apply(1, "ada", 0.0).expect("allowed"));
             exchange.adopt(&applied.expect("enabled")).expect("applied");
--- a/crates/dispatch/src/guard.rs
+++ b/crates/dispatch/src/guard.rs
@@ -11,7 +11,9 @@
 /// Runs something that should not panic; a panic is logged and yields nothing.
 pub async fn guarded<T>(name: &str, what: impl Future<Output = T>) -> Option<T> {
     let ended = AssertUnwindSafe(what).catch_unwind().await;
-    ended.map_err(|_| log::error!("{name}: a panic, shown above; what was in hand is given up")).ok()
+    ended
+        .map_err(|_| log::error!("{name}: a panic, shown above; what was in hand is given up"))
+        .ok()
 }
 
 /// Runs something to its end, if it has one, and begins it anew should it panic.
--- a/crates/dispatch/src/nodes.rs
+++ b/crates/dispatch/src/nodes.rs
@@ -88,7 +88,9 @@
     /// Whether this is another process than was listed last at this place, or none could be reached; from now
     /// on it is the one listed.
     pub fn is_new(&mut self, place: usize, process: Process) -> bool {
-        let Some(held) = self.held.get_mut(place) else { return true };
+        let Some(held) = self.held.get_mut(place) else {
+            return true;
+        };
         held.process.replace(process) != Some(process) || held.reach.is_none()
     }
 }
@@ -118,8 +120,15 @@
             nodes.set(place, reach());
         }
         nodes.set(7, None);
-        assert_eq!((nodes.index("new"), nodes.known("7"), nodes.known("8")), (7, None, Some(8)));
+        assert_eq!(
+            (nodes.index("new"), nodes.known("7"), nodes.known("8")),
+            (7, None, Some(8))
+        );
         nodes.set(7, reach());
-        assert_eq!(nodes.index("newer"), MOST, "none is gone: it grows rather than mix two nodes up");
+        assert_eq!(
+            nodes.index("newer"),
+            MOST,
+            "none is gone: it grows rather than mix two nodes up"
+        );
     }
 }
--- a/crates/dispatch/src/signal.rs
+++ b/crates/dispatch/src/signal.rs
@@ -11,7 +11,10 @@
 
 impl Signal {
     pub fn new(given: bool) -> Signal {
-        Signal { given: given.into(), told: Notify::new() }
+        Signal {
+            given: given.into(),
+            told: Notify::new(),
+        }
     }
 
     pub fn give(&self) {
--- a/crates/ext-proc/examples/asks.rs
+++ b/crates/ext-proc/examples/asks.rs
@@ -9,7 +9,10 @@
 use tonic_prost::ProstCodec;
 
 fn shown(shown: fn(HttpHeaders) -> Shown, pairs: &[(&str, &str)]) -> ProcessingRequest {
-    ProcessingRequest { request: Some(shown(HttpHeaders::alone(pairs))), observability_mode: false }
+    ProcessingRequest {
+        request: Some(shown(HttpHeaders::alone(pairs))),
+        observability_mode: false,
+    }
 }
 
 /// One ask: whether it was told where to go, and how long that took.
@@ -17,10 +20,18 @@
     let begun = Instant::now();
     let (say, said) = mpsc::channel(4);
     let mut grpc = tonic::client::Grpc::new(channel);
-    grpc.ready().await.map_err(|e| tonic::Status::unavailable(e.to_string()))?;
-    let path = http::uri::PathAndQuery::from_static("/envoy.service.ext_proc.v3.ExternalProcessor/Process");
+    grpc.ready()
+        .await
+        .map_err(|e| tonic::Status::unavailable(e.to_string()))?;
+    let path = http::uri::PathAndQuery::from_static(
+        "/envoy.service.ext_proc.v3.ExternalProcessor/Process",
+    );
     let codec: ProstCodec<ProcessingRequest, ProcessingResponse> = ProstCodec::default();
-    let path_of_hit = if id.ends_with('7') { "/pay/a" } else { "/read/a" };
+    let path_of_hit = if id.ends_with('7') {
+        "/pay/a"
+    } else {
+        "/read/a"
+    };
     let pairs = [
         (":method", "GET"),
         (":path", path_of_hit),
@@ -29,13 +40,17 @@
         ("x-request-id", id.as_str()),
     ];
     let _ = say.send(shown(Shown::RequestHeaders, &pairs)).await; // the channel is ours
-    let mut told =
-        grpc.streaming(tonic::Request::new(ReceiverStream::new(said)), path, codec).await?.into_inner();
+    let mut told = grpc
+        .streaming(tonic::Request::new(ReceiverStream::new(said)), path, codec)
+        .await?
+        .into_inner();
     let answer = told.message().await?.and_then(|m| m.response);
     let spent = begun.elapsed().as_secs_f64();
     let goes = matches!(answer, Some(Reply::RequestHeaders(_)));
     if goes {
-        let _ = say.send(shown(Shown::ResponseHeaders, &[(":status", "200")])).await;
+        let _ = say
+            .send(shown(Shown::ResponseHeaders, &[(":status", "200")]))
+            .await;
         told.message().await?;
     }
     Ok((goes, spent))
@@ -44,10 +59,15 @@
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     let words: Vec<String> = std::env::args().collect();
-    let at = words.get(1).cloned().unwrap_or_else(|| "127.0.0.1:9300".into());
+    let at = words
+        .get(1)
+        .cloned()
+        .unwrap_or_else(|| "127.0.0.1:9300".into());
     let streams: usize = words.get(2).map_or(Ok(16), |w| w.parse())?;
     let seconds: u64 = words.get(3).map_or(Ok(5), |w| w.parse())?;
-    let channel = Endpoint::from_shared(format!("http://{at}"))?.connect().await?;
+    let channel = Endpoint::from_shared(format!("http://{at}"))?
+        .connect()
+        .await?;
     let until = Instant::now() + Duration::from_secs(seconds);
     let run = std::process::id();
     let tasks = (0..streams).map(|n| {
@@ -71,7 +91,13 @@
         bounced += others;
     }
     times.sort_by(f64::total_cmp);
-    let at = |part: f64| times.get((times.len() as f64 * part) as usize).copied().unwrap_or(f64::NAN) * 1e3;
+    let at = |part: f64| {
+        times
+            .get((times.len() as f64 * part) as usize)
+            .copied()
+            .unwrap_or(f64::NAN)
+            * 1e3
+    };
     println!(
         "{} calls, {bounced} not sent on, {} a second, answer p50 {:.3} ms, p99 {:.3} ms",
         times.len(),
--- a/crates/ext-proc/src/call.rs
+++ b/crates/ext-proc/src/call.rs
@@ -31,7 +31,13 @@
     pub fn new() -> (Call, Caller) {
         let (tell, told) = oneshot::channel();
         let (end, ended) = oneshot::channel();
-        (Call { told: Some(tell).into(), end: Some(ended).into() }, Caller { told, end })
+        (
+            Call {
+                told: Some(tell).into(),
+                end: Some(ended).into(),
+            },
+            Caller { told, end },
+        )
     }
 
     /// Tells the caller, once; its end, or that nothing was heard in time. What the caller never got never ran.
--- a/crates/ext-proc/src/front.rs
+++ b/crates/ext-proc/src/front.rs
@@ -70,7 +70,14 @@
         let now = exchange.now();
         let ledger = Ledger::recover(now, table.bounds, records, knows_from.min(now)).into();
         let (turned_away, connections) = (turned_away.to_owned(), Cell::default());
-        Front { exchange, table, turned_away, ledger, shelf, connections }
+        Front {
+            exchange,
+            table,
+            turned_away,
+            ledger,
+            shelf,
+            connections,
+        }
     }
 
     pub fn ask(&self, ask: &Ask) -> Result<Option<Risk>, Refusal> {
@@ -80,7 +87,10 @@
     /// One in hand is about to be told to its caller; an error says why it can't be written down.
     pub async fn sent(&self, id: u64, address: SocketAddr) -> Result<(), String> {
         let (zone, cell) = self.exchange.place_of(address).unwrap_or_default();
-        let record = self.ledger.borrow_mut().sent(self.exchange.now(), id, zone, cell);
+        let record = self
+            .ledger
+            .borrow_mut()
+            .sent(self.exchange.now(), id, zone, cell);
         match (&self.shelf, record) {
             (Some(shelf), Some(record)) => shelf.write(record).await,
             _ => Ok(()),
@@ -89,7 +99,10 @@
 
     /// One in hand is over.
     pub fn over(&self, id: u64, sent: bool, ran: Ran) {
-        let record = self.ledger.borrow_mut().ended(self.exchange.now(), id, sent, ran);
+        let record = self
+            .ledger
+            .borrow_mut()
+            .ended(self.exchange.now(), id, sent, ran);
         // That it never ran may be lost: then it counts as if it had.
         if let (Some(shelf), Some(record)) = (&self.shelf, record) {
             let written = shelf.write(record);
@@ -121,7 +134,10 @@
 type Answers = ReceiverStream<Result<ProcessingResponse, Status>>;
 
 /// A stream, and where its answers go.
-type Begun = (Streaming<ProcessingRequest>, mpsc::Sender<Result<ProcessingResponse, Status>>);
+type Begun = (
+    Streaming<ProcessingRequest>,
+    mpsc::Sender<Result<ProcessingResponse, Status>>,
+);
 
 /// Hands streams over: this may be asked for from any thread by its type, though it never is.
 struct Process(mpsc::UnboundedSender<Begun>);
@@ -151,14 +167,18 @@
         };
         match accepted {
             Ok(_) if front.connections.get() >= CONNECTIONS => {
-                front.exchange.complain("extproc", "as many connections as there is room for");
+                front
+                    .exchange
+                    .complain("extproc", "as many connections as there is room for");
             }
             Ok((stream, _)) => {
                 let front = front.clone();
                 front.connections.set(front.connections.get() + 1);
                 tokio::task::spawn_local(async move {
                     guarded("extproc", attend(front.clone(), stream)).await;
-                    front.connections.set(front.connections.get().saturating_sub(1));
+                    front
+                        .connections
+                        .set(front.connections.get().saturating_sub(1));
                 });
             }
             Err(e) => {
@@ -189,7 +209,9 @@
     tokio::task::spawn_local(async move {
         while let Some((asks, say)) = begun.recv().await {
             let front = own.clone();
-            tokio::task::spawn_local(async move { guarded("extproc", stream::talk(front, asks, say)).await });
+            tokio::task::spawn_local(async move {
+                guarded("extproc", stream::talk(front, asks, say)).await
+            });
         }
     });
     let service = service_fn(move |request| handle(begin.clone(), request));
--- a/crates/ext-proc/src/golden.rs
+++ b/crates/ext-proc/src/golden.rs
@@ -24,19 +24,35 @@
 ];
 
 fn bytes(hex: &str) -> Vec<u8> {
-    (0..hex.len() / 2).map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).expect("hexadecimal")).collect()
+    (0..hex.len() / 2)
+        .map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).expect("hexadecimal"))
+        .collect()
 }
 
 fn header(key: &str, value: &str, raw: &[u8]) -> HeaderValue {
-    HeaderValue { key: key.into(), value: value.into(), raw_value: raw.to_vec() }
+    HeaderValue {
+        key: key.into(),
+        value: value.into(),
+        raw_value: raw.to_vec(),
+    }
 }
 
 #[test]
 fn field_numbers_are_the_published_ones() {
-    let map = HeaderMap { headers: vec![header(":path", "/pay", b""), header("x-id", "", b"7")] };
-    let headers = HttpHeaders { headers: Some(map.clone()), end_of_stream: true };
-    let body = HttpBody { body: b"body".to_vec(), end_of_stream: true };
-    let trailers = HttpTrailers { trailers: Some(map) };
+    let map = HeaderMap {
+        headers: vec![header(":path", "/pay", b""), header("x-id", "", b"7")],
+    };
+    let headers = HttpHeaders {
+        headers: Some(map.clone()),
+        end_of_stream: true,
+    };
+    let body = HttpBody {
+        body: b"body".to_vec(),
+        end_of_stream: true,
+    };
+    let trailers = HttpTrailers {
+        trailers: Some(map),
+    };
     let asks = [
         Shown::RequestHeaders(headers.clone()),
         Shown::ResponseHeaders(headers),
@@ -46,16 +62,32 @@
         Shown::ResponseTrailers(trailers),
     ];
     for (request, golden) in asks.into_iter().zip(ASKS) {
-        let own = ProcessingRequest { request: Some(request), observability_mode: true };
+        let own = ProcessingRequest {
+            request: Some(request),
+            observability_mode: true,
+        };
         assert_eq!(own.encode_to_vec(), bytes(golden));
         assert_eq!(ProcessingRequest::decode(&bytes(golden)[..]), Ok(own));
     }
     let append_action = AppendAction::OverwriteIfExistsOrAdd as i32;
-    let set = HeaderValueOption { header: Some(header("x-node", "", b"10.0.0.1:80")), append_action };
-    let mutation = HeaderMutation { set_headers: vec![set], remove_headers: vec!["x-old".into()] };
-    let response = Some(CommonResponse { header_mutation: Some(mutation.clone()), clear_route_cache: true });
-    let (common, trailers) =
-        (CommonAnswer { response }, TrailersAnswer { header_mutation: Some(mutation.clone()) });
+    let set = HeaderValueOption {
+        header: Some(header("x-node", "", b"10.0.0.1:80")),
+        append_action,
+    };
+    let mutation = HeaderMutation {
+        set_headers: vec![set],
+        remove_headers: vec!["x-old".into()],
+    };
+    let response = Some(CommonResponse {
+        header_mutation: Some(mutation.clone()),
+        clear_route_cache: true,
+    });
+    let (common, trailers) = (
+        CommonAnswer { response },
+        TrailersAnswer {
+            header_mutation: Some(mutation.clone()),
+        },
+    );
     let answers = [
         Reply::RequestHeaders(common.clone()),
         Reply::ResponseHeaders(common.clone()),
@@ -71,7 +103,9 @@
         }),
     ];
     for (response, golden) in answers.into_iter().zip(ANSWERS) {
-        let own = ProcessingResponse { response: Some(response) };
+        let own = ProcessingResponse {
+            response: Some(response),
+        };
         assert_eq!(own.encode_to_vec(), bytes(golden));
         assert_eq!(ProcessingResponse::decode(&bytes(golden)[..]), Ok(own));
     }
--- a/crates/ext-proc/src/messages.rs
+++ b/crates/ext-proc/src/messages.rs
@@ -163,22 +163,35 @@
 impl HeaderValue {
     /// A header as newer callers write it.
     pub fn of(key: &str, value: impl Into<Vec<u8>>) -> HeaderValue {
-        HeaderValue { key: key.to_owned(), value: String::new(), raw_value: value.into() }
+        HeaderValue {
+            key: key.to_owned(),
+            value: String::new(),
+            raw_value: value.into(),
+        }
     }
 }
 
 impl HttpHeaders {
     /// Headers with nothing behind them.
     pub fn alone(pairs: &[(&str, &str)]) -> HttpHeaders {
-        let headers = pairs.iter().map(|(key, value)| HeaderValue::of(key, *value)).collect();
-        HttpHeaders { headers: Some(HeaderMap { headers }), end_of_stream: true }
+        let headers = pairs
+            .iter()
+            .map(|(key, value)| HeaderValue::of(key, *value))
+            .collect();
+        HttpHeaders {
+            headers: Some(HeaderMap { headers }),
+            end_of_stream: true,
+        }
     }
 }
 
 impl HeaderMap {
     /// A header's value, as text.
     pub fn get(&self, name: &str) -> Option<&str> {
-        let found = self.headers.iter().find(|h| h.key.eq_ignore_ascii_case(name))?;
+        let found = self
+            .headers
+            .iter()
+            .find(|h| h.key.eq_ignore_ascii_case(name))?;
         if found.raw_value.is_empty() {
             return Some(&found.value);
         }
@@ -190,7 +203,10 @@
     /// Sets a header, whatever stood there.
     pub fn set(&mut self, key: &str, value: String) {
         let append_action = AppendAction::OverwriteIfExistsOrAdd as i32;
-        self.set_headers.push(HeaderValueOption { header: Some(HeaderValue::of(key, value)), append_action });
+        self.set_headers.push(HeaderValueOption {
+            header: Some(HeaderValue::of(key, value)),
+            append_action,
+        });
     }
 }
 
--- a/crates/ext-proc/src/stream.rs
+++ b/crates/ext-proc/src/stream.rs
@@ -58,7 +58,11 @@
 
 impl Drop for Case {
     fn drop(&mut self) {
-        self.finish(if self.sent { End::CalledOff } else { End::Nowhere });
+        self.finish(if self.sent {
+            End::CalledOff
+        } else {
+            End::Nowhere
+        });
     }
 }
 
@@ -99,7 +103,9 @@
         };
         let answer = match message.request {
             Some(Shown::RequestHeaders(_)) if decided => {
-                let _ = say.send(Err(Status::invalid_argument("request headers came twice"))).await;
+                let _ = say
+                    .send(Err(Status::invalid_argument("request headers came twice")))
+                    .await;
                 return;
             }
             Some(Shown::RequestHeaders(headers)) => {
@@ -120,9 +126,13 @@
                     Said::Own => Reply::RequestHeaders(CommonAnswer { response: None }),
                     Said::Go(mutation, held) => {
                         case = Some(held);
-                        let common =
-                            CommonResponse { header_mutation: Some(mutation), clear_route_cache: true };
-                        Reply::RequestHeaders(CommonAnswer { response: Some(common) })
+                        let common = CommonResponse {
+                            header_mutation: Some(mutation),
+                            clear_route_cache: true,
+                        };
+                        Reply::RequestHeaders(CommonAnswer {
+                            response: Some(common),
+                        })
                     }
                 }
             }
@@ -142,7 +152,11 @@
             continue;
         }
         let over = matches!(answer, Reply::ImmediateResponse(_));
-        let said = say.send(Ok(ProcessingResponse { response: Some(answer) })).await;
+        let said = say
+            .send(Ok(ProcessingResponse {
+                response: Some(answer),
+            }))
+            .await;
         if said.is_err() || over {
             return;
         }
@@ -166,13 +180,30 @@
         Err(Odd::Nowhere) => return Said::Own,
         Err(Odd::NoId) => return immediate(400, 0.0, "an id is needed here"),
     };
-    let Asked { row, id, key, account, remaining, again, began } = asked;
+    let Asked {
+        row,
+        id,
+        key,
+        account,
+        remaining,
+        again,
+        began,
+    } = asked;
     if !front.exchange.ready() {
-        return if row.open { Said::Own } else { immediate(503, 1.0, "no node list yet, or stopping") };
+        return if row.open {
+            Said::Own
+        } else {
+            immediate(503, 1.0, "no node list yet, or stopping")
+        };
     }
     let mut risk = None;
     if let Some(id) = id {
-        match front.ask(&Ask { id, kind: row.kind, again, began }) {
+        match front.ask(&Ask {
+            id,
+            kind: row.kind,
+            again,
+            began,
+        }) {
             Ok(known) => risk = known,
             Err(Refusal::Full) => return immediate(503, 1.0, "no more ids can be remembered"),
             Err(Refusal::InHand) => return immediate(409, 0.0, "one of this id is in hand"),
@@ -183,7 +214,13 @@
         }
     }
     let (call, Caller { mut told, end }) = Call::new();
-    let mut case = Case { front: front.clone(), id, sent: false, end: Some(end), ticket: None };
+    let mut case = Case {
+        front: front.clone(),
+        id,
+        sent: false,
+        end: Some(end),
+        ticket: None,
+    };
     let arrival = Arrival {
         group: row.group,
         key: key.map(|key| front.exchange.key(key)),
@@ -195,7 +232,11 @@
         ..Arrival::default()
     };
     // Each stream's is its own: repeats are told apart by the ledger.
-    let load = Load { id: front.exchange.unnamed(), head: Box::new(call), body: Bytes::new() };
+    let load = Load {
+        id: front.exchange.unnamed(),
+        head: Box::new(call),
+        body: Bytes::new(),
+    };
     let Some(mut ticket) = front.exchange.take(arrival, load) else {
         return immediate(503, 1.0, "a hit in hand bears this id");
     };
@@ -205,7 +246,9 @@
         answer = ticket.answer() => Ok(answer),
     };
     match answer {
-        Ok(Answer::Bounced { again_after }) => immediate(503, again_after.max(0.001), "bounced, nothing ran"),
+        Ok(Answer::Bounced { again_after }) => {
+            immediate(503, again_after.max(0.001), "bounced, nothing ran")
+        }
         Ok(_) => immediate(502, 0.0, "given up"),
         Err(Told { address, limit }) => {
             case.ticket = Some(ticket);
@@ -238,7 +281,10 @@
     let turned_away = headers.get(&front.turned_away) == Some("1");
     match status {
         Some(503 | 504) if turned_away => End::TurnedAway,
-        Some(200..=499) => End::Answered { kind: None, body: Bytes::new() },
+        Some(200..=499) => End::Answered {
+            kind: None,
+            body: Bytes::new(),
+        },
         Some(_) => End::Failed,
         None => End::Unreadable,
     }
--- a/crates/ext-proc/src/table.rs
+++ b/crates/ext-proc/src/table.rs
@@ -74,16 +74,22 @@
             }
             let wrong = |what: String| Err(format!("extproc/route '{prefix}': {what}"));
             let Some(group) = exchange.group(name) else {
-                return wrong(format!("group: found '{name}', expected one of the platform's"));
+                return wrong(format!(
+                    "group: found '{name}', expected one of the platform's"
+                ));
             };
             let kind = match exchange.repeat(group) {
                 "retryable" => Kind::Repeatable,
-                "dedup" => Kind::Tagged { window: exchange.window(group) },
+                "dedup" => Kind::Tagged {
+                    window: exchange.window(group),
+                },
                 _ => Kind::Mutating,
             };
             let open = text(&of("when_unsure")) == "open";
             if open && kind != Kind::Repeatable {
-                return wrong("when-unsure: found open, expected closed: its hits may not run twice".into());
+                return wrong(
+                    "when-unsure: found open, expected closed: its hits may not run twice".into(),
+                );
             }
             if rows.iter().any(|r| r.prefix == prefix) {
                 return wrong("found again, expected each once".into());
@@ -107,7 +113,10 @@
             again: text("again_header").into(),
             began: text("began_header").into(),
             node: text("node_header").into(),
-            bounds: Bounds { most: number("most_remembered") as usize, remember: number("remember_s") },
+            bounds: Bounds {
+                most: number("most_remembered") as usize,
+                remember: number("remember_s"),
+            },
             streams: number("most_streams") as u32,
         })
     }
@@ -118,14 +127,28 @@
         let path = path.split(['?', '#']).next().unwrap_or_default();
         let within = |prefix: &str| {
             let rest = path.strip_prefix(prefix);
-            rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/'))
+            rest.is_some_and(|rest| {
+                rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/')
+            })
         };
-        let row = self.rows.iter().find(|r| within(&r.prefix)).ok_or(Odd::Nowhere)?;
+        let row = self
+            .rows
+            .iter()
+            .find(|r| within(&r.prefix))
+            .ok_or(Odd::Nowhere)?;
         let word = |name: &str| {
-            let text = headers.get(name).map(str::trim).filter(|_| !name.is_empty());
+            let text = headers
+                .get(name)
+                .map(str::trim)
+                .filter(|_| !name.is_empty());
             text.filter(|t| !t.is_empty() && t.len() <= WORD_MOST)
         };
-        let figure = |name: &str| word(name)?.parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0);
+        let figure = |name: &str| {
+            word(name)?
+                .parse::<f64>()
+                .ok()
+                .filter(|n| n.is_finite() && *n >= 0.0)
+        };
         let id = word(&self.id).map(|id| hash(format!("extproc {} {id}", row.group).as_bytes()));
         if id.is_none() && row.kind != Kind::Repeatable {
             return Err(Odd::NoId);
--- a/crates/ext-proc/src/tests.rs
+++ b/crates/ext-proc/src/tests.rs
@@ -31,9 +31,14 @@
     <route prefix='/book' group='book' timeout-ms='1500'/></extproc></magpieline>";
 
 fn run<F: Future>(seconds: u64, test: F) -> F::Output {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let timed = async {
-        tokio::time::timeout(Duration::from_secs(seconds), test).await.expect("a test ends in time")
+        tokio::time::timeout(Duration::from_secs(seconds), test)
+            .await
+            .expect("a test ends in time")
     };
     tokio::task::LocalSet::new().block_on(&runtime, timed)
 }
@@ -98,7 +103,8 @@
         {"name": "pay", "repeat": "fragile", "hard_limit_us": 2000000},
         {"name": "book", "repeat": "dedup", "dedup_scope": "zone", "dedup_window_us": 600000, "hard_limit_us": 2000000}]});
     let ways: Ways = Box::new(|address, _| Ok(Rc::new(There(address))));
-    let exchange = Rc::new(Exchange::new(1, &info, &Chosen::default(), None, ways).expect("an exchange"));
+    let exchange =
+        Rc::new(Exchange::new(1, &info, &Chosen::default(), None, ways).expect("an exchange"));
     list(&exchange, nodes, &[]);
     exchange
 }
@@ -107,8 +113,22 @@
 fn list(exchange: &Exchange, nodes: &[SocketAddr], closed: &[SocketAddr]) {
     let entry = |(zone, address): (usize, &SocketAddr)| {
         let open = !closed.contains(address);
-        let listed = Listed { node: 0, open, build: 1, zone, cell: 0, rating: 1.0, up_since: 0.0, speaks: 0 };
-        Entry { uid: address.to_string(), listed, address: *address, gone: false }
+        let listed = Listed {
+            node: 0,
+            open,
+            build: 1,
+            zone,
+            cell: 0,
+            rating: 1.0,
+            up_since: 0.0,
+            speaks: 0,
+        };
+        Entry {
+            uid: address.to_string(),
+            listed,
+            address: *address,
+            gone: false,
+        }
     };
     if !nodes.is_empty() {
         exchange.listed(true, true, nodes.iter().enumerate().map(entry).collect());
@@ -123,9 +143,18 @@
     from: f64,
 ) -> Processor {
     let exchange = exchange(nodes);
-    let values = Schema::own().check(&FILE.replace("MORE", more)).expect("a good file");
+    let values = Schema::own()
+        .check(&FILE.replace("MORE", more))
+        .expect("a good file");
     let table = Table::read(&values, &exchange).expect("a table");
-    let front = Rc::new(Front::new(exchange.clone(), table, "x-turned-away", shelf, records, from));
+    let front = Rc::new(Front::new(
+        exchange.clone(),
+        table,
+        "x-turned-away",
+        shelf,
+        records,
+        from,
+    ));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let at = listener.local_addr().expect("an address");
     tokio::task::spawn_local(serve(front, listener));
@@ -145,7 +174,11 @@
 
 /// A caller's connection.
 async fn proxy(at: SocketAddr) -> Channel {
-    Endpoint::from_shared(format!("http://{at}")).expect("an address").connect().await.expect("connected")
+    Endpoint::from_shared(format!("http://{at}"))
+        .expect("an address")
+        .connect()
+        .await
+        .expect("connected")
 }
 
 /// One stream of a caller's.
@@ -157,15 +190,27 @@
 async fn open(proxy: &Channel) -> Result<Asking, tonic::Status> {
     let (say, said) = mpsc::channel(16);
     let mut grpc = tonic::client::Grpc::new(proxy.clone());
-    grpc.ready().await.map_err(|e| tonic::Status::unavailable(e.to_string()))?;
-    let path = http::uri::PathAndQuery::from_static("/envoy.service.ext_proc.v3.ExternalProcessor/Process");
+    grpc.ready()
+        .await
+        .map_err(|e| tonic::Status::unavailable(e.to_string()))?;
+    let path = http::uri::PathAndQuery::from_static(
+        "/envoy.service.ext_proc.v3.ExternalProcessor/Process",
+    );
     let codec: ProstCodec<ProcessingRequest, ProcessingResponse> = ProstCodec::default();
-    let answer = grpc.streaming(tonic::Request::new(ReceiverStream::new(said)), path, codec).await?;
-    Ok(Asking { say, told: answer.into_inner() })
+    let answer = grpc
+        .streaming(tonic::Request::new(ReceiverStream::new(said)), path, codec)
+        .await?;
+    Ok(Asking {
+        say,
+        told: answer.into_inner(),
+    })
 }
 
 fn request(request: Shown) -> ProcessingRequest {
-    ProcessingRequest { request: Some(request), observability_mode: false }
+    ProcessingRequest {
+        request: Some(request),
+        observability_mode: false,
+    }
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -180,24 +225,36 @@
 
 impl Asking {
     async fn ask(&mut self, pairs: &[(&str, &str)]) -> Heard {
-        let _ = self.say.send(request(Shown::RequestHeaders(HttpHeaders::alone(pairs)))).await; // it may be gone
+        let _ = self
+            .say
+            .send(request(Shown::RequestHeaders(HttpHeaders::alone(pairs))))
+            .await; // it may be gone
         self.hear().await
     }
 
     async fn hear(&mut self) -> Heard {
-        let Ok(Some(message)) = self.told.message().await else { return Heard::Gone };
+        let Ok(Some(message)) = self.told.message().await else {
+            return Heard::Gone;
+        };
         match message.response {
-            Some(Reply::ImmediateResponse(answer)) => Heard::Answer(answer.status.expect("one").code),
+            Some(Reply::ImmediateResponse(answer)) => {
+                Heard::Answer(answer.status.expect("one").code)
+            }
             Some(Reply::RequestHeaders(common)) => match common.response {
                 None => Heard::Own,
                 Some(common) => {
                     let set = common.header_mutation.expect("headers").set_headers;
                     let get = |name: &str| {
-                        let found = set.iter().filter_map(|s| s.header.as_ref()).find(|h| h.key == name);
+                        let found = set
+                            .iter()
+                            .filter_map(|s| s.header.as_ref())
+                            .find(|h| h.key == name);
                         String::from_utf8(found.expect(name).raw_value.clone()).expect("text")
                     };
                     assert_eq!(get("x-envoy-max-retries"), "0");
-                    let limit = get("x-envoy-upstream-rq-timeout-ms").parse().expect("a number");
+                    let limit = get("x-envoy-upstream-rq-timeout-ms")
+                        .parse()
+                        .expect("a number");
                     Heard::Go(get("x-magpieline-node").parse().expect("an address"), limit)
                 }
             },
@@ -211,11 +268,16 @@
         if status.ends_with("turned") {
             pairs.push(("x-turned-away", "1"));
         }
-        let _ = self.say.send(request(Shown::ResponseHeaders(HttpHeaders::alone(&pairs)))).await;
+        let _ = self
+            .say
+            .send(request(Shown::ResponseHeaders(HttpHeaders::alone(&pairs))))
+            .await;
         let answer = self.told.message().await;
         assert!(matches!(
             answer.map(|a| a.and_then(|a| a.response)),
-            Ok(Some(Reply::ResponseHeaders(CommonAnswer { response: None })))
+            Ok(Some(Reply::ResponseHeaders(CommonAnswer {
+                response: None
+            })))
         ));
     }
 }
@@ -255,10 +317,22 @@
             );
         }
         assert_eq!(runs.borrow().len(), 40);
-        assert_eq!(whole(&proxy, "/elsewhere", "i").await, Heard::Own, "no row has it");
-        assert_eq!(whole(&proxy, "/payment", "i").await, Heard::Own, "a part of a word is no prefix");
+        assert_eq!(
+            whole(&proxy, "/elsewhere", "i").await,
+            Heard::Own,
+            "no row has it"
+        );
+        assert_eq!(
+            whole(&proxy, "/payment", "i").await,
+            Heard::Own,
+            "a part of a word is no prefix"
+        );
         let mut asking = open(&proxy).await.expect("a stream");
-        assert_eq!(asking.ask(&[(":path", "/pay")]).await, Heard::Answer(400), "no id");
+        assert_eq!(
+            asking.ask(&[(":path", "/pay")]).await,
+            Heard::Answer(400),
+            "no id"
+        );
         until_idle(&p.exchange).await;
     });
 }
@@ -273,7 +347,9 @@
         let pay = |id: &'static str| [(":path", "/pay"), ("x-request-id", id)];
         // Two callers, before the first one's end.
         let mut first = open(&one).await.expect("a stream");
-        let Heard::Go(at, _) = first.ask(&pay("a")).await else { panic!("told where to go") };
+        let Heard::Go(at, _) = first.ask(&pay("a")).await else {
+            panic!("told where to go")
+        };
         assert_eq!(whole(&other, "/pay", "a").await, Heard::Answer(409));
         let status = forward(at, "a").await;
         first.ended(&status).await;
@@ -286,18 +362,31 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(whole(&one, "/pay", "b").await, Heard::Answer(409));
         // A node that turned it away unseen: it never ran, and may go again.
-        assert!(matches!(whole(&one, "/pay", "never-c").await, Heard::Go(..)));
+        assert!(matches!(
+            whole(&one, "/pay", "never-c").await,
+            Heard::Go(..)
+        ));
         tokio::time::sleep(Duration::from_millis(250)).await;
-        assert!(matches!(whole(&one, "/pay", "never-c").await, Heard::Go(..)));
+        assert!(matches!(
+            whole(&one, "/pay", "never-c").await,
+            Heard::Go(..)
+        ));
         // A failure may have run. Nodes that turned hits away are left alone for a moment.
         tokio::time::sleep(Duration::from_millis(250)).await;
-        assert!(matches!(whole(&one, "/pay", "fails-d").await, Heard::Go(..)));
+        assert!(matches!(
+            whole(&one, "/pay", "fails-d").await,
+            Heard::Go(..)
+        ));
         assert_eq!(whole(&one, "/pay", "fails-d").await, Heard::Answer(409));
         // One that says it was asked before, of which nothing is known.
         let mut asking = open(&one).await.expect("a stream");
         let again = [&pay("e")[..], &[("x-envoy-attempt-count", "2")]].concat();
         assert_eq!(asking.ask(&again).await, Heard::Answer(409));
-        assert!(runs.borrow().values().all(|n| *n == 1), "{:?}", runs.borrow());
+        assert!(
+            runs.borrow().values().all(|n| *n == 1),
+            "{:?}",
+            runs.borrow()
+        );
         until_idle(&p.exchange).await;
     });
 }
@@ -311,18 +400,29 @@
         let proxy = proxy(p.at).await;
         for i in 0..10 {
             let id = format!("fails-{i}");
-            let Heard::Go(first, _) = whole(&proxy, "/book", &id).await else { panic!("told where to go") };
+            let Heard::Go(first, _) = whole(&proxy, "/book", &id).await else {
+                panic!("told where to go")
+            };
             for _ in 0..3 {
                 match whole(&proxy, "/book", &id).await {
-                    Heard::Go(again, _) => assert_eq!(again, first, "another zone knows nothing of it"),
+                    Heard::Go(again, _) => {
+                        assert_eq!(again, first, "another zone knows nothing of it")
+                    }
                     // The decisions may shun a node that fails: then it goes nowhere.
                     other => assert!(matches!(other, Heard::Answer(502 | 503)), "{other:?}"),
                 }
             }
         }
-        assert!(matches!(whole(&proxy, "/book", "fails-w").await, Heard::Go(..) | Heard::Answer(503)));
+        assert!(matches!(
+            whole(&proxy, "/book", "fails-w").await,
+            Heard::Go(..) | Heard::Answer(503)
+        ));
         tokio::time::sleep(Duration::from_millis(650)).await;
-        assert_eq!(whole(&proxy, "/book", "fails-0").await, Heard::Answer(409), "its window is over");
+        assert_eq!(
+            whole(&proxy, "/book", "fails-0").await,
+            Heard::Answer(409),
+            "its window is over"
+        );
     });
 }
 
@@ -335,8 +435,18 @@
         let proxy = proxy(p.at).await;
         // Twice the request's headers.
         let mut asking = open(&proxy).await.expect("a stream");
-        assert!(matches!(asking.ask(&[(":path", "/pay"), ("x-request-id", "t")]).await, Heard::Go(..)));
-        assert_eq!(asking.ask(&[(":path", "/pay"), ("x-request-id", "t")]).await, Heard::Gone);
+        assert!(matches!(
+            asking
+                .ask(&[(":path", "/pay"), ("x-request-id", "t")])
+                .await,
+            Heard::Go(..)
+        ));
+        assert_eq!(
+            asking
+                .ask(&[(":path", "/pay"), ("x-request-id", "t")])
+                .await,
+            Heard::Gone
+        );
         // The response first, bodies and trailers, and a message that says nothing.
         let mut asking = open(&proxy).await.expect("a stream");
         asking.ended("200").await;
@@ -349,30 +459,50 @@
             asking.say.send(request(part)).await.expect("sent");
             assert!(asking.told.message().await.expect("an answer").is_some());
         }
-        asking.say.send(ProcessingRequest::default()).await.expect("sent");
-        assert!(matches!(asking.ask(&[(":path", "/read")]).await, Heard::Go(..)));
+        asking
+            .say
+            .send(ProcessingRequest::default())
+            .await
+            .expect("sent");
+        assert!(matches!(
+            asking.ask(&[(":path", "/read")]).await,
+            Heard::Go(..)
+        ));
         drop(asking);
         // A megabyte of headers.
         let mut asking = open(&proxy).await.expect("a stream");
         let long = "v".repeat(1 << 20);
-        assert_eq!(asking.ask(&[(":path", "/read"), ("x-long", &long)]).await, Heard::Gone);
+        assert_eq!(
+            asking.ask(&[(":path", "/read"), ("x-long", &long)]).await,
+            Heard::Gone
+        );
         // One that only watches is answered nothing, and nothing is taken for it.
         let mut asking = open(&proxy).await.expect("a stream");
         let watching = ProcessingRequest {
             observability_mode: true,
-            ..request(Shown::RequestHeaders(HttpHeaders::alone(&[(":path", "/read")])))
+            ..request(Shown::RequestHeaders(HttpHeaders::alone(&[(
+                ":path", "/read",
+            )])))
         };
         asking.say.send(watching).await.expect("sent");
-        assert!(tokio::time::timeout(Duration::from_millis(50), asking.told.message()).await.is_err());
+        assert!(
+            tokio::time::timeout(Duration::from_millis(50), asking.told.message())
+                .await
+                .is_err()
+        );
         drop(asking);
         // Streams that are opened and dropped at once.
         for i in 0..200 {
             let asking = open(&proxy).await.expect("a stream");
-            let first = HttpHeaders::alone(&[(":path", "/pay"), ("x-request-id", &format!("d{i}"))]);
+            let first =
+                HttpHeaders::alone(&[(":path", "/pay"), ("x-request-id", &format!("d{i}"))]);
             let _ = asking.say.send(request(Shown::RequestHeaders(first))).await;
             drop(asking);
         }
-        assert!(matches!(whole(&proxy, "/pay", "after").await, Heard::Go(..)));
+        assert!(matches!(
+            whole(&proxy, "/pay", "after").await,
+            Heard::Go(..)
+        ));
         until_idle(&p.exchange).await;
     });
 }
@@ -382,16 +512,24 @@
 fn ten_thousand_streams_on_one_connection() {
     run(240, async {
         let runs = Runs::default();
-        let p =
-            processor(&[node(&runs).await], "most-streams='10000'", None, &[], magpieline_dispatch::unix())
-                .await;
+        let p = processor(
+            &[node(&runs).await],
+            "most-streams='10000'",
+            None,
+            &[],
+            magpieline_dispatch::unix(),
+        )
+        .await;
         let proxy = proxy(p.at).await;
         let mut held = Vec::new();
         for i in 0..10_000 {
             let mut asking = open(&proxy).await.expect("a stream");
             if i % 100 == 0 {
                 let heard = asking.ask(&[(":path", "/read")]).await;
-                assert!(matches!(heard, Heard::Go(..) | Heard::Answer(503)), "{heard:?}");
+                assert!(
+                    matches!(heard, Heard::Go(..) | Heard::Answer(503)),
+                    "{heard:?}"
+                );
             }
             held.push(asking);
         }
@@ -403,7 +541,10 @@
         until_idle(&p.exchange).await;
         // Its node was silent for those that were held, so it may be left alone for now.
         let heard = whole(&proxy, "/pay", "after").await;
-        assert!(matches!(heard, Heard::Go(..) | Heard::Answer(503)), "{heard:?}");
+        assert!(
+            matches!(heard, Heard::Go(..) | Heard::Answer(503)),
+            "{heard:?}"
+        );
     });
 }
 
@@ -421,13 +562,19 @@
         list(&p.exchange, &[a, b], &[]);
         // Told to go there, then it drains: this one was told before.
         let mut asking = open(&proxy_one).await.expect("a stream");
-        let Heard::Go(told, _) = asking.ask(&[(":path", "/pay"), ("x-request-id", "p")]).await else {
+        let Heard::Go(told, _) = asking
+            .ask(&[(":path", "/pay"), ("x-request-id", "p")])
+            .await
+        else {
             panic!("bounced before, so it may go")
         };
         list(&p.exchange, &[a, b], &[told]);
         for i in 0..20 {
             let heard = whole(&proxy_one, "/pay", &format!("q{i}")).await;
-            assert!(matches!(heard, Heard::Go(node, _) if node != told), "{heard:?}");
+            assert!(
+                matches!(heard, Heard::Go(node, _) if node != told),
+                "{heard:?}"
+            );
         }
         let status = forward(told, "p").await;
         asking.ended(&status).await;
@@ -442,11 +589,18 @@
         let p = plain(&[node(&runs).await]).await;
         let proxy = proxy(p.at).await;
         let mut asking = open(&proxy).await.expect("a stream");
-        let Heard::Go(at, _) = asking.ask(&[(":path", "/pay"), ("x-request-id", "s")]).await else {
+        let Heard::Go(at, _) = asking
+            .ask(&[(":path", "/pay"), ("x-request-id", "s")])
+            .await
+        else {
             panic!("told where to go")
         };
         p.exchange.stop();
-        assert_eq!(whole(&proxy, "/pay", "late").await, Heard::Answer(503), "stopping");
+        assert_eq!(
+            whole(&proxy, "/pay", "late").await,
+            Heard::Answer(503),
+            "stopping"
+        );
         p.exchange.closing.give();
         tokio::time::sleep(Duration::from_millis(50)).await;
         let status = forward(at, "s").await;
@@ -469,10 +623,17 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
         let mut more = TcpStream::connect(p.at).await.expect("connected");
-        assert_eq!(more.read(&mut [0; 8]).await.unwrap_or(0), 0, "closed at once");
+        assert_eq!(
+            more.read(&mut [0; 8]).await.unwrap_or(0),
+            0,
+            "closed at once"
+        );
         held.clear();
         tokio::time::sleep(Duration::from_millis(50)).await;
-        assert!(matches!(whole(&proxy(p.at).await, "/pay", "a").await, Heard::Go(..)));
+        assert!(matches!(
+            whole(&proxy(p.at).await, "/pay", "a").await,
+            Heard::Go(..)
+        ));
     });
 }
 
@@ -481,12 +642,16 @@
     run(5, async {
         let exchange = exchange(&[]);
         let told = |file: &str| {
-            let values = Schema::own().check(&file.replace("MORE", "")).expect("good by the schema");
+            let values = Schema::own()
+                .check(&file.replace("MORE", ""))
+                .expect("good by the schema");
             Table::read(&values, &exchange).expect_err("refused")
         };
         assert!(told(&FILE.replace("group='pay'", "group='odd'")).contains("group: found 'odd'"));
-        let open =
-            FILE.replace("group='pay' timeout-ms='1500'", "group='pay' timeout-ms='1500' when-unsure='open'");
+        let open = FILE.replace(
+            "group='pay' timeout-ms='1500'",
+            "group='pay' timeout-ms='1500' when-unsure='open'",
+        );
         assert!(told(&open).contains("'/pay': when-unsure: found open, expected closed"));
         assert!(told(&FILE.replace("'/book'", "'/pay'")).contains("found again"));
     });
@@ -510,9 +675,15 @@
         let runs = Runs::default();
         let nodes = [node(&runs).await, node(&runs).await, node(&runs).await];
         let (mut done, began) = (0, Instant::now());
-        let (heard, times) = (Rc::new(RefCell::new([0u64; 4])), Rc::new(RefCell::new(Vec::new())));
-        let (records, mut from, mut round) =
-            (Rc::new(RefCell::new(Vec::new())), magpieline_dispatch::unix(), 0u64);
+        let (heard, times) = (
+            Rc::new(RefCell::new([0u64; 4])),
+            Rc::new(RefCell::new(Vec::new())),
+        );
+        let (records, mut from, mut round) = (
+            Rc::new(RefCell::new(Vec::new())),
+            magpieline_dispatch::unix(),
+            0u64,
+        );
         let next = Rc::new(Cell::new(0u64));
         while done < many {
             round += 1;
@@ -534,7 +705,8 @@
                 async move {
                     for _ in 0..each / 16 {
                         next.set(next.get() + 1);
-                        let word = ["", "", "", "", "fails", "never", "slow"][chance.gen_range(0..7)];
+                        let word =
+                            ["", "", "", "", "fails", "never", "slow"][chance.gen_range(0..7)];
                         let (path, id) = (
                             ["/pay", "/pay", "/read", "/book"][chance.gen_range(0..4)],
                             format!("{word}-{}", next.get()),
@@ -542,7 +714,10 @@
                         // What comes late is still the first: only what is asked again says so.
                         for attempt in 1..=chance.gen_range(1..4) {
                             let begun = Instant::now();
-                            let Ok(mut asking) = open(&proxies[chance.gen_range(0..2)]).await else { break };
+                            let Ok(mut asking) = open(&proxies[chance.gen_range(0..2)]).await
+                            else {
+                                break;
+                            };
                             let count = attempt.to_string();
                             let pairs = [
                                 (":path", path),
@@ -552,7 +727,9 @@
                             if chance.gen_range(0..50) == 0 {
                                 let _ = asking
                                     .say
-                                    .send(request(Shown::RequestHeaders(HttpHeaders::alone(&pairs))))
+                                    .send(request(Shown::RequestHeaders(HttpHeaders::alone(
+                                        &pairs,
+                                    ))))
                                     .await;
                                 continue; // it leaves before the answer
                             }
@@ -581,8 +758,12 @@
             done += each;
             // The processor ends as by a crash: streams break, nothing more is written.
         }
-        let paid: Vec<u32> =
-            runs.borrow().iter().filter(|(id, _)| id.starts_with("/pay")).map(|(_, n)| *n).collect();
+        let paid: Vec<u32> = runs
+            .borrow()
+            .iter()
+            .filter(|(id, _)| id.starts_with("/pay"))
+            .map(|(_, n)| *n)
+            .collect();
         let mut times = times.borrow_mut();
         times.sort_by(f64::total_cmp);
         let at = |part: f64| 1e3 * times[(times.len() as f64 * part) as usize];
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -19,7 +19,9 @@
 
 /// The time of day, in microseconds since 1970. It may jump, and differ between machines.
 pub fn day() -> Micros {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Micros)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_micros() as Micros)
 }
 
 /// Waits until then.
--- a/crates/gateway/src/commands/check.rs
+++ b/crates/gateway/src/commands/check.rs
@@ -16,7 +16,10 @@
     help: bool,
     #[options(free, required, help = "the files; - is standard input")]
     files: Vec<String>,
-    #[options(help = "takes them for `settings` or `configuration`, however they begin", meta = "KIND")]
+    #[options(
+        help = "takes them for `settings` or `configuration`, however they begin",
+        meta = "KIND"
+    )]
     kind: Option<Kind>,
     #[options(help = "lists a configuration's routes, too")]
     routes: bool,
@@ -40,7 +43,9 @@
         match text {
             "settings" => Ok(Kind::Settings),
             "configuration" => Ok(Kind::Configuration),
-            other => Err(format!("found '{other}', expected settings or configuration")),
+            other => Err(format!(
+                "found '{other}', expected settings or configuration"
+            )),
         }
     }
 }
@@ -69,12 +74,27 @@
             Ok(text) => {
                 let kind = options.kind.unwrap_or(Kind::of(&text));
                 let found = examine(&text, kind, options.routes);
-                (if options.json { found.as_json(file) } else { found.as_text(file) }, found.wrong.is_empty())
+                (
+                    if options.json {
+                        found.as_json(file)
+                    } else {
+                        found.as_text(file)
+                    },
+                    found.wrong.is_empty(),
+                )
             }
             Err(e) => {
                 eprintln!("{file}: can't be read: {e}");
-                let wrong = jzon::object! { file: file.as_str(), sound: false, unreadable: e.to_string() };
-                (if options.json { format!("{}\n", wrong.dump()) } else { String::new() }, false)
+                let wrong =
+                    jzon::object! { file: file.as_str(), sound: false, unreadable: e.to_string() };
+                (
+                    if options.json {
+                        format!("{}\n", wrong.dump())
+                    } else {
+                        String::new()
+                    },
+                    false,
+                )
             }
         };
         sound &= good;
@@ -116,7 +136,9 @@
     };
     match kind {
         Kind::Settings => match Machine::read(text) {
-            Ok(machine) => (found.summary, found.json) = (machine_lines(&machine), machine_json(&machine)),
+            Ok(machine) => {
+                (found.summary, found.json) = (machine_lines(&machine), machine_json(&machine))
+            }
             Err(wrong) => found.wrong = wrong,
         },
         Kind::Configuration => match Edition::examine(text) {
@@ -145,9 +167,13 @@
             many => format!("{many} complaints"),
         };
         let mut text = format!("{file}: {what}, {verdict}\n");
-        self.wrong.iter().for_each(|complaint| text.push_str(&format!("  {complaint}\n")));
+        self.wrong
+            .iter()
+            .for_each(|complaint| text.push_str(&format!("  {complaint}\n")));
         text.push_str(&pairs(&self.summary, "  "));
-        self.notes.iter().for_each(|note| text.push_str(&format!("  note: {note}\n")));
+        self.notes
+            .iter()
+            .for_each(|note| text.push_str(&format!("  note: {note}\n")));
         text.push_str(&self.routes);
         text
     }
@@ -171,11 +197,21 @@
 }
 
 fn machine_lines(machine: &Machine) -> Vec<(&'static str, String)> {
-    let posts: Vec<String> = machine.posts.iter().map(|(name, at)| format!("{name} {at}")).collect();
+    let posts: Vec<String> = machine
+        .posts
+        .iter()
+        .map(|(name, at)| format!("{name} {at}"))
+        .collect();
     let seeds: Vec<String> = machine.seeds.iter().map(|s| s.to_string()).collect();
-    let zones: Vec<String> =
-        machine.zones.iter().map(|(zone, region)| format!("{zone} ({region})")).collect();
-    let terms: Vec<String> = terms(machine).into_iter().map(|(name, v)| format!("{name} {v}")).collect();
+    let zones: Vec<String> = machine
+        .zones
+        .iter()
+        .map(|(zone, region)| format!("{zone} ({region})"))
+        .collect();
+    let terms: Vec<String> = terms(machine)
+        .into_iter()
+        .map(|(name, v)| format!("{name} {v}"))
+        .collect();
     let carrier = match machine.carrier.address {
         Some(at) => {
             format!(
@@ -191,9 +227,18 @@
         ("class", machine.class.clone()),
         ("zone", format!("{} ({})", machine.zone, machine.region)),
         ("runs", listed(&roles(machine))),
-        ("inner", format!("{}:{} to {}", machine.ip, machine.inner_ports.0, machine.inner_ports.1)),
+        (
+            "inner",
+            format!(
+                "{}:{} to {}",
+                machine.ip, machine.inner_ports.0, machine.inner_ports.1
+            ),
+        ),
         ("posts", listed(&posts)),
-        ("store", machine.store.clone().unwrap_or_else(|| "none".into())),
+        (
+            "store",
+            machine.store.clone().unwrap_or_else(|| "none".into()),
+        ),
         ("first run", machine.first_run.to_string()),
         ("seeds", listed(&seeds)),
         ("platform", carrier),
@@ -212,9 +257,14 @@
 
 fn machine_json(machine: &Machine) -> Json {
     let mut posts = Json::new_object();
-    machine.posts.iter().for_each(|(name, at)| drop(posts.insert(name, at.to_string())));
+    machine
+        .posts
+        .iter()
+        .for_each(|(name, at)| drop(posts.insert(name, at.to_string())));
     let mut terms_shown = Json::new_object();
-    terms(machine).into_iter().for_each(|(name, value)| drop(terms_shown.insert(name, value)));
+    terms(machine)
+        .into_iter()
+        .for_each(|(name, value)| drop(terms_shown.insert(name, value)));
     jzon::object! {
         node: machine.node.as_str(), class: machine.class.as_str(), zone: machine.zone.as_str(),
         region: machine.region.as_str(), runs: roles(machine), ip: machine.ip.to_string(),
@@ -265,7 +315,11 @@
 
 /// All routes, by host and prefix.
 fn sorted(edition: &Edition) -> Vec<(&str, &Route)> {
-    let mut all: Vec<(&str, &Route)> = edition.table().all().map(|(host, route)| (host, &**route)).collect();
+    let mut all: Vec<(&str, &Route)> = edition
+        .table()
+        .all()
+        .map(|(host, route)| (host, &**route))
+        .collect();
     all.sort_by(|a, b| (a.0, &a.1.prefix).cmp(&(b.0, &b.1.prefix)));
     all
 }
@@ -304,7 +358,11 @@
 
 /// How many routes go to a service, at least in part.
 fn routes_to(edition: &Edition, service: &str) -> usize {
-    edition.table().all().filter(|(_, r)| r.parts.iter().any(|p| &*p.service == service)).count()
+    edition
+        .table()
+        .all()
+        .filter(|(_, r)| r.parts.iter().any(|p| &*p.service == service))
+        .count()
 }
 
 /// A configuration for people.
@@ -313,12 +371,19 @@
     let services: Vec<String> = fleets(edition)
         .iter()
         .map(|f| {
-            let cap = if f.conn_cap == u32::MAX { "any number of".into() } else { f.conn_cap.to_string() };
+            let cap = if f.conn_cap == u32::MAX {
+                "any number of".into()
+            } else {
+                f.conn_cap.to_string()
+            };
             let routes = match routes_to(edition, &f.name) {
                 1 => "1 route".into(),
                 many => format!("{many} routes"),
             };
-            format!("{} ({routes}, {cap} connections an appliance, {})", f.name, f.health_path)
+            format!(
+                "{} ({routes}, {cap} connections an appliance, {})",
+                f.name, f.health_path
+            )
         })
         .collect();
     vec![
@@ -371,13 +436,26 @@
 
 /// A configuration's routes, one a line.
 pub fn route_table(edition: &Edition) -> String {
-    let head = ["host", "prefix", "route", "sort", "to", "target", "give_up", "tries", "precedence"];
+    let head = [
+        "host",
+        "prefix",
+        "route",
+        "sort",
+        "to",
+        "target",
+        "give_up",
+        "tries",
+        "precedence",
+    ];
     let mut rows = vec![head.map(str::to_owned).to_vec()];
     for (host, route) in sorted(edition) {
         let all: f64 = route.parts.iter().map(|p| p.share).sum();
         let to: Vec<String> = match &route.parts[..] {
             [one] => vec![one.service.to_string()],
-            parts => parts.iter().map(|p| format!("{} {:.0}%", p.service, 100.0 * p.share / all)).collect(),
+            parts => parts
+                .iter()
+                .map(|p| format!("{} {:.0}%", p.service, 100.0 * p.share / all))
+                .collect(),
         };
         rows.push(vec![
             host.to_owned(),
@@ -397,7 +475,9 @@
 /// What a configuration may say, and hardly means.
 fn notes(edition: &Edition) -> Vec<String> {
     let unmet = |prefix: &str| !prefix.starts_with('/') || !prefix.ends_with('/');
-    let prefixes = sorted(edition).into_iter().filter(|(_, route)| unmet(&route.prefix));
+    let prefixes = sorted(edition)
+        .into_iter()
+        .filter(|(_, route)| unmet(&route.prefix));
     let mut notes: Vec<String> = prefixes
         .map(|(host, r)| {
             format!(
@@ -406,7 +486,9 @@
             )
         })
         .collect();
-    let idle = fleets(edition).into_iter().filter(|f| routes_to(edition, &f.name) == 0);
+    let idle = fleets(edition)
+        .into_iter()
+        .filter(|f| routes_to(edition, &f.name) == 0);
     notes.extend(idle.map(|f| format!("service {}: no route goes to it", f.name)));
     notes
 }
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -102,7 +102,11 @@
             "magpieline-gateway check --routes - < gateway.json",
         ],
     ),
-    ("send", " ADDRESS FILE", &["magpieline-gateway send 10.1.0.16:8166,10.2.0.33:8166 gateway.json"]),
+    (
+        "send",
+        " ADDRESS FILE",
+        &["magpieline-gateway send 10.1.0.16:8166,10.2.0.33:8166 gateway.json"],
+    ),
     (
         "read",
         " ADDRESS",
@@ -145,13 +149,18 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Addresses, String> {
-        text.split(',').map(address).collect::<Result<_, _>>().map(Addresses)
+        text.split(',')
+            .map(address)
+            .collect::<Result<_, _>>()
+            .map(Addresses)
     }
 }
 
 /// One address with its port.
 fn address(text: &str) -> Result<SocketAddrV4, String> {
-    text.parse().map_err(|_| format!("found '{text}', expected an address and a port such as 10.1.0.16:8166"))
+    text.parse().map_err(|_| {
+        format!("found '{text}', expected an address and a port such as 10.1.0.16:8166")
+    })
 }
 
 /// A time above 0 as operators write it.
@@ -186,7 +195,11 @@
         return End::Done;
     }
     if parsed.version {
-        say(concat!("magpieline-gateway ", env!("CARGO_PKG_VERSION"), "\n"));
+        say(concat!(
+            "magpieline-gateway ",
+            env!("CARGO_PKG_VERSION"),
+            "\n"
+        ));
         return End::Done;
     }
     let done = match parsed.command {
@@ -205,9 +218,14 @@
 
 /// Says what is wrong with the command line, and how it should be.
 fn misused(arguments: &[String], wrong: &str) -> End {
-    let command = arguments.iter().map(String::as_str).find(|a| !a.starts_with('-'));
+    let command = arguments
+        .iter()
+        .map(String::as_str)
+        .find(|a| !a.starts_with('-'));
     let command = command.filter(|c| Command::command_usage(c).is_some());
-    let name = command.map_or("magpieline-gateway".to_owned(), |c| format!("magpieline-gateway {c}"));
+    let name = command.map_or("magpieline-gateway".to_owned(), |c| {
+        format!("magpieline-gateway {c}")
+    });
     eprintln!("{name}: {wrong}\n\n{}", help(command).trim_end());
     End::Misused
 }
@@ -225,7 +243,11 @@
         );
     };
     let list = Arguments::command_list().unwrap_or_default();
-    let about = list.lines().find_map(|l| l.trim().strip_prefix(*name)).unwrap_or_default().trim();
+    let about = list
+        .lines()
+        .find_map(|l| l.trim().strip_prefix(*name))
+        .unwrap_or_default()
+        .trim();
     let usage = Command::command_usage(name).unwrap_or_default();
     let examples: String = examples.iter().map(|e| format!("  {e}\n")).collect();
     format!("magpieline-gateway {name}: {about}\n\nUsage: magpieline-gateway {name} [OPTIONS]{takes}\n\n{usage}\n\nExamples:\n{examples}")
@@ -234,13 +256,19 @@
 /// Prints to standard output; false once nobody reads it any more.
 pub fn say(text: &str) -> bool {
     let mut out = std::io::stdout().lock();
-    out.write_all(text.as_bytes()).and_then(|()| out.flush()).is_ok()
+    out.write_all(text.as_bytes())
+        .and_then(|()| out.flush())
+        .is_ok()
 }
 
 /// Runs on one thread.
 fn wait_for<T>(work: impl std::future::Future<Output = T>) -> Result<T, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    Ok(runtime.map_err(|e| format!("no runtime: {e}"))?.block_on(work))
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
+    Ok(runtime
+        .map_err(|e| format!("no runtime: {e}"))?
+        .block_on(work))
 }
 
 #[cfg(test)]
@@ -253,13 +281,25 @@
         let list = Arguments::command_list().expect("commands");
         assert_eq!(list.lines().count(), SHAPES.len());
         for (name, _, examples) in SHAPES {
-            assert!(list.lines().any(|l| l.trim().starts_with(name)), "{name} is not listed");
-            assert!(help(Some(name)).contains("Examples:\n  magpieline-gateway "), "{name}");
+            assert!(
+                list.lines().any(|l| l.trim().starts_with(name)),
+                "{name} is not listed"
+            );
+            assert!(
+                help(Some(name)).contains("Examples:\n  magpieline-gateway "),
+                "{name}"
+            );
             for example in examples {
-                let plain = example.split([' ']).skip(1).take_while(|w| !["<", ">"].contains(w));
+                let plain = example
+                    .split([' '])
+                    .skip(1)
+                    .take_while(|w| !["<", ">"].contains(w));
                 let words: Vec<&str> = plain.collect();
                 let parsed = Arguments::parse_args(&words, ParsingStyle::AllOptions);
-                assert_eq!(parsed.map(|p| p.command_name()).map_err(|e| e.to_string()), Ok(Some(name)));
+                assert_eq!(
+                    parsed.map(|p| p.command_name()).map_err(|e| e.to_string()),
+                    Ok(Some(name))
+                );
             }
         }
     }
--- a/crates/gateway/src/commands/operator_client.rs
+++ b/crates/gateway/src/commands/operator_client.rs
@@ -36,7 +36,11 @@
 #[derive(Debug)]
 pub enum Failed {
     /// It was refused.
-    Refused { by: SocketAddrV4, status: u16, text: String },
+    Refused {
+        by: SocketAddrV4,
+        status: u16,
+        text: String,
+    },
     /// No clear answer in time: what became of each address. An order may be in force all the same.
     Unclear(BTreeMap<SocketAddrV4, String>),
 }
@@ -84,7 +88,10 @@
                     }
                     other => {
                         refusals += u32::from(other == Next::Doubtful);
-                        tried.insert(by, format!("answered {status}: {}", faults(&text).join("; ")));
+                        tried.insert(
+                            by,
+                            format!("answered {status}: {}", faults(&text).join("; ")),
+                        );
                     }
                 },
                 Err((by, wrong)) => {
@@ -120,8 +127,18 @@
         let to = moved.as_deref().and_then(place);
         match to {
             Some(to) if moves < MOST_MOVES => (at, path) = to,
-            Some((to, _)) => return Err((at, format!("sent on to {to}, the {}th time", MOST_MOVES + 1))),
-            None => return Err((at, format!("sent on to {moved:?}, expected http://ADDRESS/PATH"))),
+            Some((to, _)) => {
+                return Err((
+                    at,
+                    format!("sent on to {to}, the {}th time", MOST_MOVES + 1),
+                ))
+            }
+            None => {
+                return Err((
+                    at,
+                    format!("sent on to {moved:?}, expected http://ADDRESS/PATH"),
+                ))
+            }
         }
     }
     Err((at, "sent on too often".into()))
@@ -137,10 +154,15 @@
 type Response = (u16, Option<String>, String);
 
 async fn post(at: SocketAddrV4, path: &str, body: &Bytes) -> Result<Response, String> {
-    let stream = net::connect(at, SILENCE).await.map_err(|e| format!("no connection: {e}"))?;
-    let broken =
-        |e: hyper::Error| format!("found no answer ({e}), expected a sorting machine's control address");
-    let (mut line, rest) = hyper::client::conn::http1::handshake(Wire(stream)).await.map_err(broken)?;
+    let stream = net::connect(at, SILENCE)
+        .await
+        .map_err(|e| format!("no connection: {e}"))?;
+    let broken = |e: hyper::Error| {
+        format!("found no answer ({e}), expected a sorting machine's control address")
+    };
+    let (mut line, rest) = hyper::client::conn::http1::handshake(Wire(stream))
+        .await
+        .map_err(broken)?;
     tokio::spawn(rest);
     let request = Request::post(path)
         .header(HOST, at.to_string())
@@ -149,21 +171,35 @@
         .map_err(|e| format!("no request: {e}"))?;
     let answer = line.send_request(request).await.map_err(broken)?;
     let status = answer.status().as_u16();
-    let moved = answer.headers().get(LOCATION).and_then(|l| l.to_str().ok()).map(str::to_owned);
+    let moved = answer
+        .headers()
+        .get(LOCATION)
+        .and_then(|l| l.to_str().ok())
+        .map(str::to_owned);
     let body = Limited::new(answer.into_body(), LONGEST).collect().await;
-    let body = body.map_err(|e| format!("found a part of an answer ({e}), expected all of it"))?.to_bytes();
-    let text = String::from_utf8(body.into()).map_err(|_| "found bytes that are no text, expected JSON")?;
+    let body = body
+        .map_err(|e| format!("found a part of an answer ({e}), expected all of it"))?
+        .to_bytes();
+    let text = String::from_utf8(body.into())
+        .map_err(|_| "found bytes that are no text, expected JSON")?;
     Ok((status, moved, text))
 }
 
 /// The complaints that a refusal's body tells, one a line; the body itself where it tells none.
 pub fn faults(text: &str) -> Vec<String> {
     let told = jzon::parse(text).ok();
-    let list = told.as_ref().map(|t| t["fault"].members()).into_iter().flatten();
+    let list = told
+        .as_ref()
+        .map(|t| t["fault"].members())
+        .into_iter()
+        .flatten();
     let said: Vec<String> = list
         .filter_map(|f| {
-            let (place, found, expected) =
-                (f["place"].as_str()?, f["found"].as_str()?, f["expected"].as_str()?);
+            let (place, found, expected) = (
+                f["place"].as_str()?,
+                f["found"].as_str()?,
+                f["expected"].as_str()?,
+            );
             Some(format!("{place}: found {found}, expected {expected}"))
         })
         .collect();
@@ -196,8 +232,14 @@
     /// Guards against a redirect to nowhere.
     #[test]
     fn locations() {
-        let to = ("10.0.0.4:8080".parse().expect("an address"), "/v1/rpc?call=config.read".to_owned());
-        assert_eq!(place("http://10.0.0.4:8080/v1/rpc?call=config.read"), Some(to));
+        let to = (
+            "10.0.0.4:8080".parse().expect("an address"),
+            "/v1/rpc?call=config.read".to_owned(),
+        );
+        assert_eq!(
+            place("http://10.0.0.4:8080/v1/rpc?call=config.read"),
+            Some(to)
+        );
         assert_eq!(place("http://gateway.example/v1"), None);
         assert_eq!(place("/v1/rpc"), None);
     }
--- a/crates/gateway/src/commands/operator_commands.rs
+++ b/crates/gateway/src/commands/operator_commands.rs
@@ -18,13 +18,22 @@
 pub struct SendOptions {
     #[options(help = "prints this")]
     help: bool,
-    #[options(free, required, help = "control addresses of sorting machines, joined by commas")]
+    #[options(
+        free,
+        required,
+        help = "control addresses of sorting machines, joined by commas"
+    )]
     address: Addresses,
     #[options(free, required, help = "the configuration; - is standard input")]
     file: String,
     #[options(help = "sends it even where this program finds it wrong")]
     unchecked: bool,
-    #[options(help = "tries for so long", meta = "TIME", default = "5s", parse(try_from_str = "time"))]
+    #[options(
+        help = "tries for so long",
+        meta = "TIME",
+        default = "5s",
+        parse(try_from_str = "time")
+    )]
     patience: Micros,
     #[options(help = "as JSON")]
     json: bool,
@@ -34,9 +43,18 @@
 pub struct ReadOptions {
     #[options(help = "prints this")]
     help: bool,
-    #[options(free, required, help = "control addresses of sorting machines, joined by commas")]
+    #[options(
+        free,
+        required,
+        help = "control addresses of sorting machines, joined by commas"
+    )]
     address: Addresses,
-    #[options(help = "tries for so long", meta = "TIME", default = "5s", parse(try_from_str = "time"))]
+    #[options(
+        help = "tries for so long",
+        meta = "TIME",
+        default = "5s",
+        parse(try_from_str = "time")
+    )]
     patience: Micros,
     #[options(help = "the configuration as it was sent")]
     json: bool,
@@ -46,17 +64,33 @@
 pub struct RolloutOptions {
     #[options(help = "prints this")]
     help: bool,
-    #[options(free, required, help = "control addresses of sorting machines, joined by commas")]
+    #[options(
+        free,
+        required,
+        help = "control addresses of sorting machines, joined by commas"
+    )]
     address: Addresses,
     #[options(free, required, help = "the service")]
     service: String,
-    #[options(free, help = "the version to move it to; without one its rollout's state is told")]
+    #[options(
+        free,
+        help = "the version to move it to; without one its rollout's state is told"
+    )]
     version: Option<String>,
-    #[options(help = "by then it should be delivered", meta = "TIME", parse(try_from_str = "time"))]
+    #[options(
+        help = "by then it should be delivered",
+        meta = "TIME",
+        parse(try_from_str = "time")
+    )]
     within: Option<Micros>,
     #[options(short = "W", help = "waits until it is delivered (0) or returned (1)")]
     wait: bool,
-    #[options(help = "tries for so long", meta = "TIME", default = "5s", parse(try_from_str = "time"))]
+    #[options(
+        help = "tries for so long",
+        meta = "TIME",
+        default = "5s",
+        parse(try_from_str = "time")
+    )]
     patience: Micros,
     #[options(help = "as JSON")]
     json: bool,
@@ -85,10 +119,16 @@
             (format!("{what}: {by} refused it ({status}):{list}"), object)
         }
         Failed::Unclear(tried) => {
-            let list: String = tried.iter().map(|(at, wrong)| format!("\n  {at}: {wrong}")).collect();
+            let list: String = tried
+                .iter()
+                .map(|(at, wrong)| format!("\n  {at}: {wrong}"))
+                .collect();
             let mut object = Json::new_object();
-            tried.iter().for_each(|(at, wrong)| drop(object.insert(&at.to_string(), wrong.as_str())));
-            let sentence = format!("{what}: no clear answer; it may be in force or not, ask again:{list}");
+            tried
+                .iter()
+                .for_each(|(at, wrong)| drop(object.insert(&at.to_string(), wrong.as_str())));
+            let sentence =
+                format!("{what}: no clear answer; it may be in force or not, ask again:{list}");
             (sentence, jzon::object! { unclear: object })
         }
     };
@@ -101,7 +141,12 @@
         Ok(text) => text,
         Err(e) => {
             let wrong = format!("{file}: can't be read: {e}");
-            return Ok(ended(options.json, false, &wrong, jzon::object! { unreadable: e.to_string() }));
+            return Ok(ended(
+                options.json,
+                false,
+                &wrong,
+                jzon::object! { unreadable: e.to_string() },
+            ));
         }
     };
     let edition = match Edition::examine(&text) {
@@ -125,36 +170,49 @@
             Err(wrong) => return failed(options.json, file, &wrong),
         };
         // An older one is acknowledged, too, and changes nothing: what is in force tells.
-        let held = call(at, "call=config.read", "", options.patience).await.ok();
+        let held = call(at, "call=config.read", "", options.patience)
+            .await
+            .ok();
         let (done, sentence) = judge(edition, &text, &answer, held.as_ref());
-        let object = jzon::object! { edition: edition, by: answer.by.to_string(), said: sentence.as_str() };
+        let object =
+            jzon::object! { edition: edition, by: answer.by.to_string(), said: sentence.as_str() };
         ended(options.json, done, &sentence, object)
     })
 }
 
 /// Whether a configuration that was acknowledged is in force, by what was read back.
-fn judge(edition: Option<u64>, text: &str, answer: &Answer, held: Option<&Answer>) -> (bool, String) {
+fn judge(
+    edition: Option<u64>,
+    text: &str,
+    answer: &Answer,
+    held: Option<&Answer>,
+) -> (bool, String) {
     let number = edition.map_or("?".to_owned(), |n| n.to_string());
     let said = format!("Edition {number} was acknowledged by {}", answer.by);
     let Some(held) = held else {
         return (true, format!("{said}; it could not be read back."));
     };
     let newest = magpieline_config::gateway_config::number_of(&held.text);
-    let alike =
-        held.text == text || matches!((jzon::parse(&held.text), jzon::parse(text)), (Ok(a), Ok(b)) if a == b);
+    let alike = held.text == text
+        || matches!((jzon::parse(&held.text), jzon::parse(text)), (Ok(a), Ok(b)) if a == b);
     match newest {
         _ if alike => (true, format!("{said} and is in force.")),
-        Some(newest) if newest == edition.unwrap_or(0) => {
-            (false, format!("{said} and changes nothing: another text is in force under this number."))
-        }
-        Some(newest) => (false, format!("{said} and changes nothing: edition {newest} is in force.")),
+        Some(newest) if newest == edition.unwrap_or(0) => (
+            false,
+            format!("{said} and changes nothing: another text is in force under this number."),
+        ),
+        Some(newest) => (
+            false,
+            format!("{said} and changes nothing: edition {newest} is in force."),
+        ),
         None => (true, format!("{said}; what was read back has no number.")),
     }
 }
 
 pub fn read(options: &ReadOptions) -> Result<End, String> {
     wait_for(async {
-        let answer = match call(&options.address.0, "call=config.read", "", options.patience).await {
+        let answer = match call(&options.address.0, "call=config.read", "", options.patience).await
+        {
             Ok(answer) => answer,
             Err(wrong) => return failed(options.json, "configuration", &wrong),
         };
@@ -162,12 +220,17 @@
             return say(&answer.text).into();
         }
         match Edition::read(&answer.text) {
-            Ok(edition) => {
-                say(&format!("{}{}", pairs(&edition_lines(&edition), ""), route_table(&edition))).into()
-            }
+            Ok(edition) => say(&format!(
+                "{}{}",
+                pairs(&edition_lines(&edition), ""),
+                route_table(&edition)
+            ))
+            .into(),
             Err(wrong) => {
-                let sentence =
-                    format!("{}: in force, but not sound to this program: {}", answer.by, wrong[0]);
+                let sentence = format!(
+                    "{}: in force, but not sound to this program: {}",
+                    answer.by, wrong[0]
+                );
                 ended(false, false, &sentence, Json::new_object())
             }
         }
@@ -190,18 +253,32 @@
         if let Some((version, within)) = term {
             let body = jzon::object! { service: service.as_str(), to_edition: version.as_str(),
             within: durations::write(within) };
-            let called =
-                call(&options.address.0, "call=editions.begin", &body.dump(), options.patience).await;
+            let called = call(
+                &options.address.0,
+                "call=editions.begin",
+                &body.dump(),
+                options.patience,
+            )
+            .await;
             if let Err(wrong) = called {
-                return failed(options.json, &format!("rollout of {service} to {version}"), &wrong);
+                return failed(
+                    options.json,
+                    &format!("rollout of {service} to {version}"),
+                    &wrong,
+                );
             }
         }
         let until = now() + term.map_or(0, |(_, within)| within) + LATE;
         loop {
             let stands = match state(options).await {
                 Ok(stands) => stands,
-                Err(Failed::Refused { status: 404, .. }) => Stands { state: "none".into(), to: "-".into() },
-                Err(wrong) => return failed(options.json, &format!("rollout of {service}"), &wrong),
+                Err(Failed::Refused { status: 404, .. }) => Stands {
+                    state: "none".into(),
+                    to: "-".into(),
+                },
+                Err(wrong) => {
+                    return failed(options.json, &format!("rollout of {service}"), &wrong)
+                }
             };
             let moves = stands.state == "in_transit";
             if options.wait && moves && now() < until {
@@ -224,14 +301,16 @@
     let answer = call(&options.address.0, &query, "", options.patience).await?;
     let told = jzon::parse(&answer.text).unwrap_or(Json::Null);
     let text = |name: &str| told[name].as_str().unwrap_or("?").to_owned();
-    Ok(Stands { state: text("state"), to: text("to_edition") })
+    Ok(Stands {
+        state: text("state"),
+        to: text("to_edition"),
+    })
 }
 
 impl Stands {
     fn told(&self, options: &RolloutOptions, ordered: Option<&str>) -> End {
         let (service, Stands { state, to }) = (&options.service, self);
-        let object =
-            jzon::object! { service: service.as_str(), state: state.as_str(), to_edition: to.as_str() };
+        let object = jzon::object! { service: service.as_str(), state: state.as_str(), to_edition: to.as_str() };
         let meant = ordered.is_none_or(|version| version == to);
         let moved = ordered.is_some() || options.wait;
         let done = match &state[..] {
--- a/crates/gateway/src/commands/serve.rs
+++ b/crates/gateway/src/commands/serve.rs
@@ -14,7 +14,10 @@
 pub struct Options {
     #[options(help = "prints this")]
     help: bool,
-    #[options(help = "the settings file; MAGPIELINE_CONFIG names it otherwise", meta = "FILE")]
+    #[options(
+        help = "the settings file; MAGPIELINE_CONFIG names it otherwise",
+        meta = "FILE"
+    )]
     settings: Option<String>,
     #[options(
         help = "which log lines: error, warn, info, debug, trace, or by part such as info,session=debug",
@@ -29,18 +32,28 @@
 type Running = Pin<Box<dyn Future<Output = std::io::Result<()>>>>;
 
 pub fn proxy(options: Options) -> Result<End, String> {
-    start("proxy", options, |settings, life| Box::pin(proxy::run(settings, life)))
+    start("proxy", options, |settings, life| {
+        Box::pin(proxy::run(settings, life))
+    })
 }
 
 pub fn controller(options: Options) -> Result<End, String> {
-    start("controller", options, |settings, life| Box::pin(controller::run(settings, life)))
+    start("controller", options, |settings, life| {
+        Box::pin(controller::run(settings, life))
+    })
 }
 
 /// Reads the settings file and runs a role until the platform ends it.
-fn start(role: &str, options: Options, run: impl FnOnce(Held, u64) -> Running) -> Result<End, String> {
+fn start(
+    role: &str,
+    options: Options,
+    run: impl FnOnce(Held, u64) -> Running,
+) -> Result<End, String> {
     log::start(&options.log, options.json)?;
-    let path =
-        options.settings.or_else(|| std::env::var(SETTINGS.0).ok()).unwrap_or_else(|| SETTINGS.1.to_owned());
+    let path = options
+        .settings
+        .or_else(|| std::env::var(SETTINGS.0).ok())
+        .unwrap_or_else(|| SETTINGS.1.to_owned());
     let watcher = match Watcher::open(PathBuf::from(&path)) {
         Ok(watcher) => watcher,
         Err(wrong) => {
@@ -53,11 +66,13 @@
     clock::now();
     let life = rand::random::<u64>().max(1);
     let served = wait_for(async { run(settings::watch(watcher)?, life).await });
-    Ok(match served.map(|served| served.map_err(|e| e.to_string())) {
-        Ok(Ok(())) => End::Done,
-        Ok(Err(wrong)) | Err(wrong) => {
-            eprintln!("{path}: {wrong}");
-            End::Failed
-        }
-    })
+    Ok(
+        match served.map(|served| served.map_err(|e| e.to_string())) {
+            Ok(Ok(())) => End::Done,
+            Ok(Err(wrong)) | Err(wrong) => {
+                eprintln!("{path}: {wrong}");
+                End::Failed
+            }
+        },
+    )
 }
--- a/crates/gateway/src/commands/store.rs
+++ b/crates/gateway/src/commands/store.rs
@@ -18,7 +18,11 @@
 pub struct Options {
     #[options(help = "prints this")]
     help: bool,
-    #[options(free, required, help = "the store's folder: self.store_dir of the machine's settings")]
+    #[options(
+        free,
+        required,
+        help = "the store's folder: self.store_dir of the machine's settings"
+    )]
     dir: String,
     #[options(help = "lists the log's entries, too")]
     entries: bool,
@@ -33,14 +37,22 @@
     let in_use = is_in_use(path).unwrap_or(false);
     let found = match read(path, in_use) {
         Ok(Some(found)) => found,
-        Ok(None) => return Ok(failed(options, "found no store, expected a sorting machine's store.redb")),
+        Ok(None) => {
+            return Ok(failed(
+                options,
+                "found no store, expected a sorting machine's store.redb",
+            ))
+        }
         Err(error) => return Ok(failed(options, &told(error, in_use))),
     };
     let contents = Contents::of(&found, in_use);
     if options.configuration {
         return Ok(match &contents.latest().edition {
             Some(kept) => say(&kept.text).into(),
-            None => failed(options, "found no configuration, expected one that was sent"),
+            None => failed(
+                options,
+                "found no configuration, expected one that was sent",
+            ),
         });
     }
     let text = match options.json {
@@ -53,7 +65,10 @@
 fn failed(options: &Options, what: &str) -> End {
     eprintln!("{}: {what}", options.dir);
     if options.json {
-        say(&format!("{}\n", jzon::object! { store: options.dir.as_str(), wrong: what }.dump()));
+        say(&format!(
+            "{}\n",
+            jzon::object! { store: options.dir.as_str(), wrong: what }.dump()
+        ));
     }
     End::Failed
 }
@@ -95,13 +110,29 @@
 /// A command's name and what it is about.
 fn command_shown(command: &Command) -> (&'static str, String) {
     match command {
-        Command::Replace(kept) => ("replace", format!("edition {}, {} bytes", kept.number, kept.text.len())),
-        Command::Begin { service, to, within } | Command::Order { service, to, within, .. } => {
-            ("begin", format!("{service} to {to} within {}", durations::write(*within)))
-        }
-        Command::Advance { service, order, phase } => {
-            ("advance", format!("{service}, order {order}: {phase:?}"))
+        Command::Replace(kept) => (
+            "replace",
+            format!("edition {}, {} bytes", kept.number, kept.text.len()),
+        ),
+        Command::Begin {
+            service,
+            to,
+            within,
         }
+        | Command::Order {
+            service,
+            to,
+            within,
+            ..
+        } => (
+            "begin",
+            format!("{service} to {to} within {}", durations::write(*within)),
+        ),
+        Command::Advance {
+            service,
+            order,
+            phase,
+        } => ("advance", format!("{service}, order {order}: {phase:?}")),
         Command::Stands { service, version } => ("stands", format!("{service} {version}")),
     }
 }
@@ -136,19 +167,31 @@
             Payload::Command { more: false, bytes } => {
                 pieces.extend_from_slice(bytes);
                 command = Command::unpack(&std::mem::take(&mut pieces)).ok();
-                command.as_ref().map_or(("unreadable", format!("{} bytes", bytes.len())), command_shown)
+                command.as_ref().map_or(
+                    ("unreadable", format!("{} bytes", bytes.len())),
+                    command_shown,
+                )
             }
         };
         if !matches!(entry.payload, Payload::Command { .. }) {
             pieces.clear();
         }
-        list.push(Place { index: entry.index, term, kind, about, command });
+        list.push(Place {
+            index: entry.index,
+            term,
+            kind,
+            about,
+            command,
+        });
     }
     list
 }
 
 fn seats(seats: &[Seat]) -> String {
-    let shown: Vec<String> = seats.iter().map(|s| format!("{} (life {})", s.address, s.life)).collect();
+    let shown: Vec<String> = seats
+        .iter()
+        .map(|s| format!("{} (life {})", s.address, s.life))
+        .collect();
     listed(&shown)
 }
 
@@ -156,7 +199,10 @@
 fn replay(stored: &Stored, places: &[Place], to: u64) -> Records {
     let (mut records, mut at) = (Records::default(), 0);
     if let Some(snapshot) = &stored.snapshot {
-        (records, at) = (Records::unpack(&snapshot.state).unwrap_or_default(), snapshot.index);
+        (records, at) = (
+            Records::unpack(&snapshot.state).unwrap_or_default(),
+            snapshot.index,
+        );
     }
     for place in places.iter().filter(|p| p.index > at && p.index <= to) {
         if let Some(command) = &place.command {
@@ -188,7 +234,15 @@
         let certain = stored.hard.map_or(0, |h| h.commit).max(covered).min(last);
         let in_force = replay(stored, &places, certain);
         let beyond = Some(replay(stored, &places, last)).filter(|all| *all != in_force);
-        Contents { found, in_use, places, certain, last, in_force, beyond }
+        Contents {
+            found,
+            in_use,
+            places,
+            certain,
+            last,
+            in_force,
+            beyond,
+        }
     }
 
     fn latest(&self) -> &Records {
@@ -210,8 +264,11 @@
 
     fn as_text(&self, dir: &str, entries: bool) -> String {
         let stored = &self.found.stored;
-        let mut text =
-            format!("{dir}: {} bytes{}\n", self.found.file_bytes, if self.in_use { ", in use" } else { "" });
+        let mut text = format!(
+            "{dir}: {} bytes{}\n",
+            self.found.file_bytes,
+            if self.in_use { ", in use" } else { "" }
+        );
         let Some(hard) = stored.hard else {
             text.push_str("  empty: this machine has never taken part\n");
             return text;
@@ -220,10 +277,23 @@
             (Some(first), Some(last)) => format!("entries {} to {}", first.index, last.index),
             _ => "no entries".into(),
         };
-        let kinds: Vec<String> = self.kinds().iter().map(|(kind, count)| format!("{count} {kind}")).collect();
+        let kinds: Vec<String> = self
+            .kinds()
+            .iter()
+            .map(|(kind, count)| format!("{count} {kind}"))
+            .collect();
         let snapshot = stored.snapshot.as_ref().map_or("none".into(), |s| {
-            let whole = if Records::unpack(&s.state).is_ok() { "" } else { ", unreadable" };
-            format!("up to entry {} of term {}, {} bytes{whole}", s.index, s.term, s.state.len())
+            let whole = if Records::unpack(&s.state).is_ok() {
+                ""
+            } else {
+                ", unreadable"
+            };
+            format!(
+                "up to entry {} of term {}, {} bytes{whole}",
+                s.index,
+                s.term,
+                s.state.len()
+            )
         });
         text.push_str(&pairs(
             &[
@@ -234,11 +304,18 @@
                 ("log", log),
                 ("entries", listed(&kinds)),
                 ("snapshot", snapshot),
-                ("certain", format!("up to entry {} of {}", self.certain, self.last)),
+                (
+                    "certain",
+                    format!("up to entry {} of {}", self.certain, self.last),
+                ),
             ],
             "  ",
         ));
-        text.push_str(&format!("in force, up to entry {}\n{}", self.certain, records_text(&self.in_force)));
+        text.push_str(&format!(
+            "in force, up to entry {}\n{}",
+            self.certain,
+            records_text(&self.in_force)
+        ));
         if let Some(beyond) = &self.beyond {
             let to = self.last;
             text.push_str(&format!(
@@ -247,12 +324,17 @@
             ));
         }
         if entries {
-            let mut rows = vec![["entry", "term", "kind", "about"].map(str::to_owned).to_vec()];
-            rows.extend(
-                self.places.iter().map(|p| {
-                    vec![p.index.to_string(), p.term.to_string(), p.kind.to_owned(), p.about.clone()]
-                }),
-            );
+            let mut rows = vec![["entry", "term", "kind", "about"]
+                .map(str::to_owned)
+                .to_vec()];
+            rows.extend(self.places.iter().map(|p| {
+                vec![
+                    p.index.to_string(),
+                    p.term.to_string(),
+                    p.kind.to_owned(),
+                    p.about.clone(),
+                ]
+            }));
             text.push_str(&columns(&rows, "  "));
         }
         text
@@ -265,13 +347,17 @@
             Payload::Members(members) => Some(members.voters.clone()),
             _ => None,
         });
-        listed.or(stored.snapshot.as_ref().map(|s| s.members.voters.clone())).unwrap_or_default()
+        listed
+            .or(stored.snapshot.as_ref().map(|s| s.members.voters.clone()))
+            .unwrap_or_default()
     }
 
     fn as_json(&self, dir: &str, entries: bool) -> Json {
         let stored = &self.found.stored;
         let mut kinds = Json::new_object();
-        self.kinds().into_iter().for_each(|(kind, count)| drop(kinds.insert(kind, count)));
+        self.kinds()
+            .into_iter()
+            .for_each(|(kind, count)| drop(kinds.insert(kind, count)));
         let seat = |s: &Seat| jzon::object! { address: s.address.to_string(), life: s.life };
         let mut shown = jzon::object! {
             store: dir, bytes: self.found.file_bytes, in_use: self.in_use, empty: stored.hard.is_none(),
@@ -301,15 +387,33 @@
 
 fn records_text(records: &Records) -> String {
     let edition = records.edition.as_ref();
-    let edition = edition.map_or("none".into(), |k| format!("{}, {} bytes", k.number, k.text.len()));
+    let edition = edition.map_or("none".into(), |k| {
+        format!("{}, {} bytes", k.number, k.text.len())
+    });
     let mut text = pairs(&[("edition", edition)], "  ");
-    let mut rows = vec![["service", "stands", "rollout", "barred"].map(str::to_owned).to_vec()];
+    let mut rows = vec![["service", "stands", "rollout", "barred"]
+        .map(str::to_owned)
+        .to_vec()];
     for (name, standing) in &records.services {
         let rollout = standing.rollout.as_ref().map_or("none".into(), |r| {
-            format!("to {}: {:?} (order {}, within {})", r.to, r.phase, r.order, durations::write(r.within))
+            format!(
+                "to {}: {:?} (order {}, within {})",
+                r.to,
+                r.phase,
+                r.order,
+                durations::write(r.within)
+            )
         });
-        let stands = standing.version.clone().unwrap_or_else(|| "not known".into());
-        rows.push(vec![name.clone(), stands, rollout, listed(&standing.barred)]);
+        let stands = standing
+            .version
+            .clone()
+            .unwrap_or_else(|| "not known".into());
+        rows.push(vec![
+            name.clone(),
+            stands,
+            rollout,
+            listed(&standing.barred),
+        ]);
     }
     if rows.len() > 1 {
         text.push_str(&columns(&rows, "  "));
--- a/crates/gateway/src/commands/tables.rs
+++ b/crates/gateway/src/commands/tables.rs
@@ -2,8 +2,14 @@
 
 /// Names and values, one a line, values below each other.
 pub fn pairs(list: &[(&str, String)], indent: &str) -> String {
-    let width = list.iter().map(|(name, _)| name.chars().count()).max().unwrap_or(0);
-    list.iter().map(|(name, value)| format!("{indent}{name:width$}  {value}\n")).collect()
+    let width = list
+        .iter()
+        .map(|(name, _)| name.chars().count())
+        .max()
+        .unwrap_or(0);
+    list.iter()
+        .map(|(name, value)| format!("{indent}{name:width$}  {value}\n"))
+        .collect()
 }
 
 /// Rows in columns that are as wide as their widest cell.
@@ -16,8 +22,11 @@
         }
     }
     let line = |row: &Vec<String>| -> String {
-        let cells: Vec<String> =
-            row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}")).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:width$}"))
+            .collect();
         format!("{indent}{}\n", cells.join("  ").trim_end())
     };
     rows.iter().map(line).collect()
@@ -28,5 +37,9 @@
     if names.is_empty() {
         return "none".into();
     }
-    names.iter().map(AsRef::as_ref).collect::<Vec<_>>().join(", ")
+    names
+        .iter()
+        .map(AsRef::as_ref)
+        .collect::<Vec<_>>()
+        .join(", ")
 }
--- a/crates/gateway/src/commands/views.rs
+++ b/crates/gateway/src/commands/views.rs
@@ -37,12 +37,18 @@
         return Err("--times: expected --every with it".into());
     }
     wait_for(async {
-        let mut left = if options.every.is_some() { options.times.unwrap_or(u64::MAX) } else { 1 };
+        let mut left = if options.every.is_some() {
+            options.times.unwrap_or(u64::MAX)
+        } else {
+            1
+        };
         loop {
             let all = show(options).await;
             left = left.saturating_sub(1);
             match options.every {
-                Some(every) if left > 0 && all != Shown::Unread => tokio::time::sleep(span(every)).await,
+                Some(every) if left > 0 && all != Shown::Unread => {
+                    tokio::time::sleep(span(every)).await
+                }
                 _ => return (all == Shown::All).into(),
             }
         }
@@ -60,7 +66,11 @@
 
 /// Asks all at once and prints the views in the order of the addresses.
 async fn show(options: &Options) -> Shown {
-    let asked: Vec<_> = options.addresses.iter().map(|at| tokio::spawn(view::ask(*at))).collect();
+    let asked: Vec<_> = options
+        .addresses
+        .iter()
+        .map(|at| tokio::spawn(view::ask(*at)))
+        .collect();
     let (mut text, mut failed) = (String::new(), Vec::new());
     if !options.json && options.every.is_some() && std::io::stdout().is_terminal() {
         text.push_str(CLEAR);
--- a/crates/gateway/src/controller/endpoint_discovery.rs
+++ b/crates/gateway/src/controller/endpoint_discovery.rs
@@ -19,7 +19,9 @@
 const OLD: Micros = 2_000_000;
 
 pub async fn run(sorting: Arc<Sorting>) {
-    let Some(mut carrier) = Carrier::of(&sorting.settings) else { return };
+    let Some(mut carrier) = Carrier::of(&sorting.settings) else {
+        return;
+    };
     let mut led = None;
     loop {
         let Some(term) = sorting.council.leads_in() else {
@@ -63,7 +65,10 @@
     let mut entries = Vec::new();
     let known = state.list.take();
     match &known {
-        None => entries.extend(list.iter().map(|(id, entry)| (id.clone(), Some(entry.clone())))),
+        None => entries.extend(
+            list.iter()
+                .map(|(id, entry)| (id.clone(), Some(entry.clone()))),
+        ),
         Some(known) => {
             for (id, entry) in &list {
                 if !known.list.get(id).is_some_and(|old| alike(old, entry)) {
@@ -76,13 +81,19 @@
     }
     state.list = Some(Reading::new(list));
     if known.is_none() || !entries.is_empty() {
-        state.tell_all(&Down::Listing(Listing { whole: known.is_none(), entries }));
+        state.tell_all(&Down::Listing(Listing {
+            whole: known.is_none(),
+            entries,
+        }));
     }
 }
 
 /// Whether an entry says the same; the time that is left of its being cold goes on by itself.
 fn alike(old: &Entry, new: &Entry) -> bool {
-    *old == Entry { cold: old.cold, ..new.clone() }
+    *old == Entry {
+        cold: old.cold,
+        ..new.clone()
+    }
 }
 
 /// A service that is seen with one version alone for the first time stands with that one.
@@ -95,9 +106,17 @@
         }
     }
     for (service, seen) in versions {
-        let known = sorting.state().records.services.get(service).is_some_and(|s| s.version.is_some());
+        let known = sorting
+            .state()
+            .records
+            .services
+            .get(service)
+            .is_some_and(|s| s.version.is_some());
         if let ([version], false) = (&seen[..], known) {
-            let command = Command::Stands { service: service.to_owned(), version: (*version).to_owned() };
+            let command = Command::Stands {
+                service: service.to_owned(),
+                version: (*version).to_owned(),
+            };
             let _ = sorting.council.propose(&command).await;
         }
     }
--- a/crates/gateway/src/controller/leader_redirect.rs
+++ b/crates/gateway/src/controller/leader_redirect.rs
@@ -43,7 +43,9 @@
     if let Some(other) = sight.other {
         return Way::There(other);
     }
-    let long = sight.leaderless_since.is_some_and(|since| now >= since + LONG);
+    let long = sight
+        .leaderless_since
+        .is_some_and(|since| now >= since + LONG);
     if long || now >= until {
         return Way::Nobody;
     }
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -79,12 +79,17 @@
 
 impl Sorting {
     pub fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.state
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Reads and checks a configuration that an operator sends.
     pub fn sound(&self, text: &str) -> Result<Arc<Edition>, Vec<Complaint>> {
-        let mut sent = self.sent.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut sent = self
+            .sent
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let edition = Arc::new(Edition::read_after(&text.into(), sent.as_deref())?);
         *sent = Some(edition.clone());
         Ok(edition)
@@ -97,8 +102,13 @@
 
     /// The inner addresses of the other sorting machines that are known here.
     fn others(&self) -> Vec<SocketAddrV4> {
-        let seeds = self.machine.seeds.iter().map(|s| SocketAddrV4::new(*s.ip(), self.machine.inner_ports.0));
-        let mut others: Vec<SocketAddrV4> = self.council.members().into_iter().chain(seeds).collect();
+        let seeds = self
+            .machine
+            .seeds
+            .iter()
+            .map(|s| SocketAddrV4::new(*s.ip(), self.machine.inner_ports.0));
+        let mut others: Vec<SocketAddrV4> =
+            self.council.members().into_iter().chain(seeds).collect();
         others.retain(|other| *other != self.inner());
         others.sort();
         others.dedup();
@@ -115,7 +125,10 @@
     pub fn shown(&self) -> Json {
         let view = self.council.view();
         let seats = |seats: &[Seat]| -> Vec<Json> {
-            seats.iter().map(|s| jzon::object! { address: s.address.to_string(), life: s.life }).collect()
+            seats
+                .iter()
+                .map(|s| jzon::object! { address: s.address.to_string(), life: s.life })
+                .collect()
         };
         let at = now();
         let state = self.state();
@@ -221,9 +234,13 @@
 impl State {
     /// All that a counter has to know besides the edition, in the order in which it is to take it in.
     fn all(&self) -> Vec<Down> {
-        let mut all = vec![Down::Services(self.records.services.clone().into_iter().collect())];
+        let mut all = vec![Down::Services(
+            self.records.services.clone().into_iter().collect(),
+        )];
         all.extend(
-            self.stages.iter().map(|(s, (order, stage))| Down::Stage(s.as_str().into(), *order, *stage)),
+            self.stages
+                .iter()
+                .map(|(s, (order, stage))| Down::Stage(s.as_str().into(), *order, *stage)),
         );
         all.extend(self.listing().map(Down::Listing));
         all
@@ -235,9 +252,18 @@
         let age = now().saturating_sub(reading.at);
         let entries = reading.list.iter().map(|(id, entry)| {
             let cold = entry.cold.saturating_sub(age);
-            (id.clone(), Some(messages::Entry { cold, ..entry.clone() }))
+            (
+                id.clone(),
+                Some(messages::Entry {
+                    cold,
+                    ..entry.clone()
+                }),
+            )
         });
-        Some(Listing { whole: true, entries: entries.collect() })
+        Some(Listing {
+            whole: true,
+            entries: entries.collect(),
+        })
     }
 }
 
@@ -257,7 +283,9 @@
         return Err(std::io::Error::other("network.posts: expected control"));
     };
     let Some(store) = machine.store.clone().map(PathBuf::from) else {
-        return Err(std::io::Error::other("self.store_dir: expected a folder for what is agreed on"));
+        return Err(std::io::Error::other(
+            "self.store_dir: expected a folder for what is agreed on",
+        ));
     };
     let inner = SocketAddrV4::new(machine.ip, machine.inner_ports.0);
     // Nobody is kept waiting at a door behind which nothing runs yet.
@@ -267,8 +295,13 @@
     let door = net::listen(control)?;
     let inner = net::listen(inner)?;
     let state = State::new(Witness::new(now(), clock::day()));
-    let sorting =
-        Arc::new(Sorting { machine, settings, state: Mutex::new(state), council, sent: Mutex::default() });
+    let sorting = Arc::new(Sorting {
+        machine,
+        settings,
+        state: Mutex::new(state),
+        council,
+        sent: Mutex::default(),
+    });
     let mut driving = tokio::spawn(driver.run(sorting.clone()));
     let others = [
         tokio::spawn(proxy_sessions::run(sorting.clone(), inner)),
@@ -290,7 +323,10 @@
     }
     let begun = now();
     tracing::info!(target: "sorting", "Leaving.");
-    sorting.council.leave(begun + sorting.machine.terms.grace.saturating_sub(GRACE_LEFT)).await;
+    sorting
+        .council
+        .leave(begun + sorting.machine.terms.grace.saturating_sub(GRACE_LEFT))
+        .await;
     tokio::time::sleep(crate::clock::span(GIVE_WAY)).await;
     let handed_on = sorting.council.view().left;
     tracing::info!(target: "sorting", "Left after {} ms{}.", (now() - begun) / 1000,
--- a/crates/gateway/src/controller/proxy_outbox.rs
+++ b/crates/gateway/src/controller/proxy_outbox.rs
@@ -45,7 +45,14 @@
         let (held, ended) = oneshot::channel();
         self.mouth.next_link += 1;
         let link = self.mouth.next_link;
-        self.mouth.links.insert(link, Link { to, welcome: None, _held: held });
+        self.mouth.links.insert(
+            link,
+            Link {
+                to,
+                welcome: None,
+                _held: held,
+            },
+        );
         (link, Queue { waiting, ended })
     }
 
@@ -78,7 +85,14 @@
         let edition = self.records.edition.as_ref().map_or(0, |k| k.number);
         let asked: Vec<(u64, Micros)> = self.roster.asked().collect();
         for (link, asked) in asked {
-            self.tell(link, &Down::Beat { counters, asked, edition });
+            self.tell(
+                link,
+                &Down::Beat {
+                    counters,
+                    asked,
+                    edition,
+                },
+            );
         }
     }
 
@@ -137,12 +151,21 @@
                     self.mouth.editions += self.say(link, frame);
                 }
                 Action::Current { link } => {
-                    let welcome = self.mouth.links.get_mut(&link).and_then(|l| l.welcome.take());
+                    let welcome = self
+                        .mouth
+                        .links
+                        .get_mut(&link)
+                        .and_then(|l| l.welcome.take());
                     if let Some(frame) = welcome {
                         self.mouth.words += self.say(link, frame);
                     }
                 }
-                Action::InForce { link, number, told, after } => {
+                Action::InForce {
+                    link,
+                    number,
+                    told,
+                    after,
+                } => {
                     tracing::debug!(
                         target: "edition",
                         "Edition {number} is in force at the counter of link {link}: {told} bytes, {} ms.",
--- a/crates/gateway/src/controller/proxy_sessions.rs
+++ b/crates/gateway/src/controller/proxy_sessions.rs
@@ -92,20 +92,42 @@
     for word in &state.all() {
         state.tell(link, word);
     }
-    let welcome = Down::Welcome { core: sorting.council.members(), counters, asked: hello.at };
+    let welcome = Down::Welcome {
+        core: sorting.council.members(),
+        counters,
+        asked: hello.at,
+    };
     state.begin(link, hello.edition, &welcome);
     Some((link, queue))
 }
 
-async fn counter(sorting: Arc<Sorting>, mut read: Frames<OwnedReadHalf>, mut write: OwnedWriteHalf) {
+async fn counter(
+    sorting: Arc<Sorting>,
+    mut read: Frames<OwnedReadHalf>,
+    mut write: OwnedWriteHalf,
+) {
     let said = timeout(span(SAID_WITHIN), read.next::<Up>()).await;
-    let Ok(Ok(Some(Up::Hello(hello)))) = said else { return };
+    let Ok(Ok(Some(Up::Hello(hello)))) = said else {
+        return;
+    };
     // What a counter is told must not be older than what any other has been told.
-    let held = confirmed(&sorting).await.and_then(|term| take_up(&sorting, term, &hello));
+    let held = confirmed(&sorting)
+        .await
+        .and_then(|term| take_up(&sorting, term, &hello));
     let Some((link, mut queue)) = held else {
         let leader = sorting.council.leader().filter(|l| *l != sorting.inner());
-        let word = Down::Elsewhere { leader, core: sorting.council.members() };
-        let _ = net::say(&mut write, &Fenced { term: sorting.council.term(), word }).await;
+        let word = Down::Elsewhere {
+            leader,
+            core: sorting.council.members(),
+        };
+        let _ = net::say(
+            &mut write,
+            &Fenced {
+                term: sorting.council.term(),
+                word,
+            },
+        )
+        .await;
         return;
     };
     let node = hello.node;
--- a/crates/gateway/src/controller/raft_driver.rs
+++ b/crates/gateway/src/controller/raft_driver.rs
@@ -106,14 +106,22 @@
 
 impl Council {
     /// Reads the store and makes ready; nothing runs before the driver does.
-    pub fn open(machine: &Machine, store: &Path, seed: u64) -> Result<(Council, Driver), granary::Error> {
+    pub fn open(
+        machine: &Machine,
+        store: &Path,
+        seed: u64,
+    ) -> Result<(Council, Driver), granary::Error> {
         let mut granary = Granary::open(store)?;
         let stored = granary.load()?;
         // A machine whose store was set aside has been here before, even if its settings are those of its first start.
         let first_run = machine.first_run && !granary::is_aside(&granary::Folder::at(store))?;
         let inner = machine.inner_ports.0;
         let me = SocketAddrV4::new(machine.ip, inner);
-        let seeds = machine.seeds.iter().map(|s| SocketAddrV4::new(*s.ip(), inner)).collect();
+        let seeds = machine
+            .seeds
+            .iter()
+            .map(|s| SocketAddrV4::new(*s.ip(), inner))
+            .collect();
         tracing::info!(
             target: "council",
             "Store read: {} entries{}.",
@@ -121,9 +129,20 @@
             if stored.hard.is_none() { ", empty" } else { "" }
         );
         // How many stand in a zone isn't known here: then as many vote as can.
-        let withstand = if machine.withstand_areas > 0 { MAX_VOTERS / 2 } else { machine.withstand as usize };
+        let withstand = if machine.withstand_areas > 0 {
+            MAX_VOTERS / 2
+        } else {
+            machine.withstand as usize
+        };
         let catch_up = machine.terms.catch_up;
-        let start = Start { me, seeds, first_run, seed, withstand, catch_up };
+        let start = Start {
+            me,
+            seeds,
+            first_run,
+            seed,
+            withstand,
+            catch_up,
+        };
         let (core, first) = Core::start(now(), start, stored);
         let (ask, asked) = mpsc::channel(MOST_WAITING);
         let (write, writes) = threads::channel::<(u64, Batch)>();
@@ -145,11 +164,25 @@
             }
         });
         let view = Mutex::new(View::of(&core));
-        Ok((Council { ask, view, changed: Notify::new() }, Driver { core, first, asked, write }))
+        Ok((
+            Council {
+                ask,
+                view,
+                changed: Notify::new(),
+            },
+            Driver {
+                core,
+                first,
+                asked,
+                write,
+            },
+        ))
     }
 
     fn view_now(&self) -> MutexGuard<'_, View> {
-        self.view.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.view
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     pub fn view(&self) -> View {
@@ -176,7 +209,11 @@
         let view = self.view_now();
         let leads = view.leading().is_some() && view.lease.is_some_and(|until| now() < until);
         let other = view.leader.filter(|leader| *leader != view.me.address);
-        Sight { leads, other, leaderless_since: view.leaderless_since }
+        Sight {
+            leads,
+            other,
+            leaderless_since: view.leaderless_since,
+        }
     }
 
     /// Waits until it may be known anew who leads, or until then.
@@ -202,7 +239,9 @@
     /// Has a command agreed on: what it did, once it stands in the log for ever and is applied here.
     pub async fn propose(&self, command: &Command) -> Result<Effect, Refusal> {
         let (tell, told) = oneshot::channel();
-        self.ask.try_send(Asked::Propose(command.pack(), tell)).map_err(|_| Refusal::NotNow)?;
+        self.ask
+            .try_send(Asked::Propose(command.pack(), tell))
+            .map_err(|_| Refusal::NotNow)?;
         match told.await {
             // Agreed on and not known what it did: that is no answer.
             Ok((outcome, effect)) => agreed(outcome).and_then(|()| effect.ok_or(Refusal::Unknown)),
@@ -213,8 +252,12 @@
     /// Waits until all that was acknowledged before now is applied here; only the leader can tell.
     pub async fn barrier(&self) -> Result<(), Refusal> {
         let (tell, told) = oneshot::channel();
-        self.ask.try_send(Asked::Read(tell)).map_err(|_| Refusal::NotNow)?;
-        told.await.map_err(|_| Refusal::Unknown).and_then(|(outcome, _)| agreed(outcome))
+        self.ask
+            .try_send(Asked::Read(tell))
+            .map_err(|_| Refusal::NotNow)?;
+        told.await
+            .map_err(|_| Refusal::Unknown)
+            .and_then(|(outcome, _)| agreed(outcome))
     }
 
     /// A message from another sorting machine; lost where too much waits.
@@ -247,7 +290,9 @@
 
     fn of(core: &Core) -> View {
         let now = now();
-        let leader = core.leader().filter(|_| core.knows_leader(now, LEADER_KNOWN));
+        let leader = core
+            .leader()
+            .filter(|_| core.knows_leader(now, LEADER_KNOWN));
         View {
             me: core.me(),
             role: core.role(),
@@ -321,7 +366,10 @@
             self.show(&sorting);
             let wake = self.core.next_wake();
             let event = if self.core.wants_compact() {
-                Event::Compact { index: self.core.applied(), state: sorting.state().records.pack() }
+                Event::Compact {
+                    index: self.core.applied(),
+                    state: sorting.state().records.pack(),
+                }
             } else {
                 tokio::select! {
                     asked = self.asked.recv() => match asked {
@@ -382,11 +430,13 @@
     pub fn all(actions: &[Action]) -> Result<VecDeque<Read>, Stop> {
         let read = |action: &Action| match action {
             Action::Apply { index, command } => {
-                let command = Command::unpack(command).map_err(|wrong| Stop::Unreadable(*index, wrong));
+                let command =
+                    Command::unpack(command).map_err(|wrong| Stop::Unreadable(*index, wrong));
                 Some(command.map(Read::Command))
             }
             Action::Restore { index, state } => {
-                let records = Records::unpack(state).map_err(|wrong| Stop::Unreadable(*index, wrong));
+                let records =
+                    Records::unpack(state).map_err(|wrong| Stop::Unreadable(*index, wrong));
                 Some(records.map(Read::Records))
             }
             Action::Send(_) | Action::Write { .. } | Action::Done { .. } => None,
@@ -398,7 +448,9 @@
 /// Sends messages to one other machine; what can't be sent is lost.
 async fn send(own: SocketAddrV4, to: SocketAddrV4, mut messages: mpsc::Receiver<Envelope>) {
     loop {
-        let Some(first) = messages.recv().await else { return };
+        let Some(first) = messages.recv().await else {
+            return;
+        };
         let Ok(mut stream) = net::connect(to, UP_WITHIN).await else {
             while messages.try_recv().is_ok() {}
             clock::until(now() + LINK_AGAIN).await;
@@ -409,7 +461,9 @@
         }
         let mut next = first;
         while stream.write_all(&messages::frame(&next)).await.is_ok() {
-            let Some(message) = messages.recv().await else { return };
+            let Some(message) = messages.recv().await else {
+                return;
+            };
             next = message;
         }
     }
--- a/crates/gateway/src/controller/rollout_controller.rs
+++ b/crates/gateway/src/controller/rollout_controller.rs
@@ -25,7 +25,9 @@
     let mut led: Option<(u64, Micros)> = None;
     loop {
         tokio::time::sleep(span(EVERY)).await;
-        let Some(term) = sorting.council.leads_in() else { continue };
+        let Some(term) = sorting.council.leads_in() else {
+            continue;
+        };
         if led.is_none_or(|(before, _)| before != term) {
             // Each leadership begins anew: what counters have seen is told again as a whole.
             (led, cases) = (Some((term, now())), BTreeMap::new());
@@ -35,11 +37,20 @@
         }
         let rolling: Vec<(String, Rollout)> = {
             let state = sorting.state();
-            let rollouts =
-                state.records.services.iter().filter_map(|(s, at)| Some((s.clone(), at.rollout.clone()?)));
-            rollouts.filter(|(_, r)| matches!(r.phase, Phase::Trial | Phase::Moving)).collect()
+            let rollouts = state
+                .records
+                .services
+                .iter()
+                .filter_map(|(s, at)| Some((s.clone(), at.rollout.clone()?)));
+            rollouts
+                .filter(|(_, r)| matches!(r.phase, Phase::Trial | Phase::Moving))
+                .collect()
         };
-        cases.retain(|service, case| rolling.iter().any(|(s, r)| s == service && r.order == case.order));
+        cases.retain(|service, case| {
+            rolling
+                .iter()
+                .any(|(s, r)| s == service && r.order == case.order)
+        });
         for (service, rollout) in rolling {
             // What was agreed on for the one before may have taken long.
             if sorting.council.leads_in() != Some(term) {
@@ -50,14 +61,22 @@
     }
 }
 
-async fn look(sorting: &Sorting, cases: &mut BTreeMap<String, Case>, service: &str, rollout: &Rollout) {
+async fn look(
+    sorting: &Sorting,
+    cases: &mut BTreeMap<String, Case>,
+    service: &str,
+    rollout: &Rollout,
+) {
     let at = now();
     let (step, against) = {
         let mut state = sorting.state();
         let pooled = state.roster.pooled(service, rollout.order);
         let (mut listed, mut cold) = (0, 0);
         if let Some(reading) = &state.list {
-            let trial = reading.list.values().filter(|e| &*e.service == service && *e.version == *rollout.to);
+            let trial = reading
+                .list
+                .values()
+                .filter(|e| &*e.service == service && *e.version == *rollout.to);
             for entry in trial.filter(|e| e.state == ListState::Ready) {
                 listed += 1;
                 cold += usize::from(reading.at + entry.cold > at);
@@ -76,14 +95,27 @@
         });
         // Some may be cold again after a crash; most have to be warm.
         let warm = listed > 0 && 3 * cold <= listed;
-        case.warm_since = if warm { case.warm_since.or(Some(at)) } else { None };
+        case.warm_since = if warm {
+            case.warm_since.or(Some(at))
+        } else {
+            None
+        };
         case.jury.moved(at, rollout.phase);
         let leaving = state.roster.leaving(at, service, rollout.order);
         let away = state.roster.all().filter(|(_, c)| c.away(at)).count() as u32;
-        let look = Look { now: at, pooled: &pooled, listed, warm_since: case.warm_since, leaving, away };
+        let look = Look {
+            now: at,
+            pooled: &pooled,
+            listed,
+            warm_since: case.warm_since,
+            leaving,
+            away,
+        };
         let step = case.jury.look(look);
         if let Step::Stage(stage) = step {
-            state.stages.insert(service.to_owned(), (rollout.order, stage));
+            state
+                .stages
+                .insert(service.to_owned(), (rollout.order, stage));
             state.tell_all(&Down::Stage(service.into(), rollout.order, stage));
         }
         (step, case.jury.account(&pooled))
@@ -100,7 +132,11 @@
         ),
         Step::Advance(phase) => {
             tracing::info!(target: "rollout", "{service} to {}: {phase:?}, on {against}.", rollout.to);
-            let command = Command::Advance { service: service.to_owned(), order: rollout.order, phase };
+            let command = Command::Advance {
+                service: service.to_owned(),
+                order: rollout.order,
+                phase,
+            };
             // Not agreed on: the next look asks again.
             let _ = sorting.council.propose(&command).await;
         }
--- a/crates/gateway/src/controller/store_recovery.rs
+++ b/crates/gateway/src/controller/store_recovery.rs
@@ -72,7 +72,9 @@
 fn put_aside(store: &Path) -> Result<(), Error> {
     let done = set_aside(&Folder::at(store));
     match done {
-        Ok(()) => tracing::error!(target: "store", "Set aside; this machine joins as an empty one."),
+        Ok(()) => {
+            tracing::error!(target: "store", "Set aside; this machine joins as an empty one.")
+        }
         Err(error) => tracing::error!(target: "store", "It could not be set aside: {error}."),
     }
     done
@@ -111,8 +113,12 @@
 async fn somebody_applied(others: &[SocketAddrV4], index: u64) -> bool {
     let asked_at = now();
     for other in others {
-        let Ok(view) = view::ask(*other).await else { continue };
-        let applied = view["log"]["applied"].as_u64().is_some_and(|applied| applied >= index);
+        let Ok(view) = view::ask(*other).await else {
+            continue;
+        };
+        let applied = view["log"]["applied"]
+            .as_u64()
+            .is_some_and(|applied| applied >= index);
         if view["leads"].as_bool() == Some(true) && applied {
             tracing::info!(target: "store", "{other} has applied entry {index}, {} ms.", (now() - asked_at) / 1000);
             return true;
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -8,8 +8,10 @@
     let filter = EnvFilter::try_new(level).map_err(|_| {
         format!("--log: found '{level}', expected a level such as info, or info,session=debug")
     })?;
-    let plain =
-        tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
+    let plain = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .with_ansi(false);
     if json {
         plain.json().flatten_event(true).init();
     } else {
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -39,7 +39,10 @@
 
 /// Lets the system find out that the other side of an idle connection is gone.
 pub fn watch_idle(stream: &TcpStream, after: Duration) -> io::Result<()> {
-    let probes = TcpKeepalive::new().with_time(after).with_interval(Duration::from_secs(1)).with_retries(2);
+    let probes = TcpKeepalive::new()
+        .with_time(after)
+        .with_interval(Duration::from_secs(1))
+        .with_retries(2);
     SockRef::from(stream).set_tcp_keepalive(&probes)
 }
 
@@ -58,7 +61,10 @@
 
 impl<R: AsyncRead + Unpin> Frames<R> {
     pub fn new(from: R) -> Frames<R> {
-        Frames { from, bytes: Vec::new() }
+        Frames {
+            from,
+            bytes: Vec::new(),
+        }
     }
 
     /// What they are read off.
@@ -72,7 +78,12 @@
             match messages::unframe(&mut self.bytes) {
                 Ok(Some(message)) => return Ok(Some(message)),
                 Ok(None) => {}
-                Err(wrong) => return Err(io::Error::new(io::ErrorKind::InvalidData, wrong.to_string())),
+                Err(wrong) => {
+                    return Err(io::Error::new(
+                        io::ErrorKind::InvalidData,
+                        wrong.to_string(),
+                    ))
+                }
             }
             if self.bytes.is_empty() && self.bytes.capacity() > 64 << 10 {
                 self.bytes = Vec::new(); // a large message was read; its room is not kept
@@ -132,7 +143,11 @@
 }
 
 impl<S: AsyncWrite + Unpin> hyper::rt::Write for Wire<S> {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.0).poll_write(cx, bytes)
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/gateway/src/platform_client.rs
+++ b/crates/gateway/src/platform_client.rs
@@ -46,12 +46,21 @@
     /// None where the settings name no list at the start.
     pub fn of(settings: &Held) -> Option<Carrier> {
         let address = settings.borrow().carrier.address?;
-        Some(Carrier { address, settings: settings.clone(), line: None })
+        Some(Carrier {
+            address,
+            settings: settings.clone(),
+            line: None,
+        })
     }
 
     /// Reads the whole list, all its pages.
     pub async fn list(&mut self) -> Result<List, Failed> {
-        let told = self.settings.borrow().carrier.address.filter(|to| *to != self.address);
+        let told = self
+            .settings
+            .borrow()
+            .carrier
+            .address
+            .filter(|to| *to != self.address);
         if let Some(address) = told {
             (self.address, self.line) = (address, None);
         }
@@ -67,7 +76,9 @@
     }
 
     async fn page(&mut self, page: Option<&str>) -> Result<String, Failed> {
-        let path = page.map_or("/appliances".to_owned(), |p| format!("/appliances?page={p}"));
+        let path = page.map_or("/appliances".to_owned(), |p| {
+            format!("/appliances?page={p}")
+        });
         match tokio::time::timeout(span(WITHIN), self.call(&path)).await {
             Ok(Ok(text)) => Ok(text),
             Ok(Err(failed)) => {
@@ -85,9 +96,12 @@
         let mut line = match self.line.take().filter(|l| !l.is_closed()) {
             Some(line) => line,
             None => {
-                let stream = net::connect(self.address, WITHIN).await.map_err(|_| Failed::Silent)?;
-                let (line, rest) =
-                    hyper::client::conn::http1::handshake(Wire(stream)).await.map_err(|_| Failed::Silent)?;
+                let stream = net::connect(self.address, WITHIN)
+                    .await
+                    .map_err(|_| Failed::Silent)?;
+                let (line, rest) = hyper::client::conn::http1::handshake(Wire(stream))
+                    .await
+                    .map_err(|_| Failed::Silent)?;
                 tokio::spawn(rest);
                 line
             }
@@ -97,9 +111,15 @@
             .header(hyper::header::HOST, self.address.to_string())
             .body(Empty::new())
             .map_err(|_| Failed::Unreadable("a page that fits no path"))?;
-        let answer = line.send_request(request).await.map_err(|_| Failed::Silent)?;
+        let answer = line
+            .send_request(request)
+            .await
+            .map_err(|_| Failed::Silent)?;
         let status = answer.status().as_u16();
-        let body = Limited::new(answer.into_body(), LONGEST).collect().await.map_err(|_| Failed::Silent)?;
+        let body = Limited::new(answer.into_body(), LONGEST)
+            .collect()
+            .await
+            .map_err(|_| Failed::Silent)?;
         self.line = Some(line);
         if status != 200 {
             return Err(Failed::Refused(status));
@@ -131,8 +151,15 @@
         version: body["edition"].as_str()?.into(),
         berths: body["berths"].as_u32().unwrap_or(1),
         // What it does not say to be ready is not sent to.
-        state: if body["state"].as_str() == Some("ready") { State::Ready } else { State::Closing },
-        cold: body["cold_left"].as_str().and_then(durations::read).unwrap_or(0),
+        state: if body["state"].as_str() == Some("ready") {
+            State::Ready
+        } else {
+            State::Closing
+        },
+        cold: body["cold_left"]
+            .as_str()
+            .and_then(durations::read)
+            .unwrap_or(0),
     })
 }
 
--- a/crates/gateway/src/proxy/client_connection.rs
+++ b/crates/gateway/src/proxy/client_connection.rs
@@ -61,7 +61,9 @@
                 self.reply = Some(reply);
             }
         }
-        self.reply.as_ref().map_or(0, |r| r.body().size_hint().lower() as usize)
+        self.reply
+            .as_ref()
+            .map_or(0, |r| r.body().size_hint().lower() as usize)
     }
 }
 
@@ -120,7 +122,9 @@
             hungry: false,
             early: VecDeque::new(),
         };
-        Arc::new(Visit { inner: Mutex::new(inner) })
+        Arc::new(Visit {
+            inner: Mutex::new(inner),
+        })
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner<S>> {
@@ -130,7 +134,9 @@
     /// hyper comes to a request: when it was taken, and its answer if it was started early.
     pub fn begin(&self) -> (Micros, Option<Started>) {
         let mut inner = self.inner();
-        let Some((number, taken)) = inner.door.work() else { return (now(), None) };
+        let Some((number, taken)) = inner.door.work() else {
+            return (now(), None);
+        };
         while inner.early.front().is_some_and(|(n, _)| *n < number) {
             inner.early.pop_front();
         }
@@ -198,7 +204,9 @@
             let wake = inner.door.wake(&inner.bounds).min(inner.now + LOOK_AGAIN);
             if wake < armed || armed <= inner.now {
                 armed = wake;
-                clock.as_mut().reset(Instant::now() + span(wake.saturating_sub(inner.now)));
+                clock
+                    .as_mut()
+                    .reset(Instant::now() + span(wake.saturating_sub(inner.now)));
             }
             ready!(clock.as_mut().poll(cx));
         })
@@ -245,7 +253,9 @@
         if let Poll::Ready(Err(_)) = self.pump(cx) {
             return Some(End::Served);
         }
-        let Inner { door, now, bounds, .. } = self;
+        let Inner {
+            door, now, bounds, ..
+        } = self;
         door.tick(*now, bounds);
         self.settle();
         self.hungry = false;
@@ -262,7 +272,13 @@
     /// Reads all that is there and may be held.
     fn fill(&mut self, cx: &mut Context<'_>) {
         while !self.ended && !self.dry && self.broken.is_none() {
-            let Inner { stream, door, bounds, now, .. } = self;
+            let Inner {
+                stream,
+                door,
+                bounds,
+                now,
+                ..
+            } = self;
             let room = door.room(bounds);
             if room == 0 {
                 return;
@@ -283,9 +299,21 @@
         }
     }
 
-    fn start_early(&mut self, cx: &mut Context<'_>, start: &mut impl FnMut(Early<'_>) -> Option<Started>) {
-        while self.early.iter_mut().map(|(_, s)| s.waiting(cx)).sum::<usize>() < MOST_WAITING {
-            let Some(early) = self.door.early() else { return };
+    fn start_early(
+        &mut self,
+        cx: &mut Context<'_>,
+        start: &mut impl FnMut(Early<'_>) -> Option<Started>,
+    ) {
+        while self
+            .early
+            .iter_mut()
+            .map(|(_, s)| s.waiting(cx))
+            .sum::<usize>()
+            < MOST_WAITING
+        {
+            let Some(early) = self.door.early() else {
+                return;
+            };
             let number = early.number;
             let Some(started) = start(early) else { return };
             self.early.push_back((number, started));
@@ -294,7 +322,10 @@
     }
 
     fn has_more(&self) -> bool {
-        !self.door.shown().is_empty() || self.door.fault().is_some() || self.ended || self.broken.is_some()
+        !self.door.shown().is_empty()
+            || self.door.fault().is_some()
+            || self.ended
+            || self.broken.is_some()
     }
 
     fn owes(&self) -> bool {
@@ -353,7 +384,11 @@
 impl<S: AsyncRead + AsyncWrite + Unpin> hyper::rt::Write for Side<S> {
     /// Takes all of it: so it is known that hyper is done with a request once it was answered and nothing is owed.
     /// No more than one answer is owed at a time.
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let inner = &mut *self.0.inner();
         let mut rest = bytes;
         while !rest.is_empty() && !inner.owes() {
--- a/crates/gateway/src/proxy/connection_pool.rs
+++ b/crates/gateway/src/proxy/connection_pool.rs
@@ -38,7 +38,10 @@
     /// Keeps a connection; `kept` is the time after which its appliance says that it closes it.
     pub fn put(&mut self, appliance: Arc<str>, line: Line, kept: Option<Micros>) {
         let span = kept.map_or(UNSAID, |k| (k as f64 * OF_KEPT) as Micros);
-        self.idle.entry(appliance).or_default().push_back(Idle { line, until: now() + span });
+        self.idle.entry(appliance).or_default().push_back(Idle {
+            line,
+            until: now() + span,
+        });
     }
 
     /// Ends all idle connections of an appliance.
--- a/crates/gateway/src/proxy/controller_session.rs
+++ b/crates/gateway/src/proxy/controller_session.rs
@@ -26,9 +26,19 @@
 
 pub async fn run(counter: Arc<Counter>) {
     let inner = counter.machine.inner_ports.0;
-    let seeds = |machine: &Machine| machine.seeds.iter().map(|s| SocketAddrV4::new(*s.ip(), inner)).collect();
+    let seeds = |machine: &Machine| {
+        machine
+            .seeds
+            .iter()
+            .map(|s| SocketAddrV4::new(*s.ip(), inner))
+            .collect()
+    };
     let mut settings = counter.settings.clone();
-    let mut tendril = Tendril::new(now(), seeds(&settings.borrow_and_update()), counter.life as usize);
+    let mut tendril = Tendril::new(
+        now(),
+        seeds(&settings.borrow_and_update()),
+        counter.life as usize,
+    );
     let mut link: Option<Link> = None;
     let mut dialled: Option<JoinHandle<std::io::Result<Link>>> = None;
     let mut actions = tendril.step(now(), Event::Tick);
@@ -49,14 +59,28 @@
                 Action::Hello => {
                     let (node, zone) = (counter.machine.node.clone(), counter.machine.zone.clone());
                     let (life, edition) = (counter.life, counter.edition_number());
-                    Up::Hello(Hello { node, zone, life, edition, term: tendril.term(), at: now() })
+                    Up::Hello(Hello {
+                        node,
+                        zone,
+                        life,
+                        edition,
+                        term: tendril.term(),
+                        at: now(),
+                    })
                 }
                 Action::Report => {
                     let (edition, evidence) = (counter.edition_number(), counter.evidence());
-                    Up::Report(Report { edition, evidence, term: tendril.term(), at: now() })
+                    Up::Report(Report {
+                        edition,
+                        evidence,
+                        term: tendril.term(),
+                        at: now(),
+                    })
                 }
                 Action::Take => {
-                    let (Some(open), Some(word)) = (&mut link, word.take()) else { continue };
+                    let (Some(open), Some(word)) = (&mut link, word.take()) else {
+                        continue;
+                    };
                     let answer = take(&counter, &mut open.intake, tendril.term(), &word);
                     tendril.in_force(counter.edition_number());
                     match answer {
@@ -120,7 +144,11 @@
     let stream = net::connect(to, UP_WITHIN).await?;
     let (read, mut write) = stream.into_split();
     net::say(&mut write, &Opening::Counter).await?;
-    Ok(Link { read: Frames::new(read), write, intake: Intake::default() })
+    Ok(Link {
+        read: Frames::new(read),
+        write,
+        intake: Intake::default(),
+    })
 }
 
 /// Takes a leader's word into force. What is to be said in return.
@@ -132,12 +160,19 @@
         }
         Down::Piece(piece) => {
             return Some(match intake.take(counter.kept().as_ref(), piece) {
-                Taken::More(upto) => Up::Got { number: piece.number, upto },
+                Taken::More(upto) => Up::Got {
+                    number: piece.number,
+                    upto,
+                },
                 Taken::Whole(kept) => {
                     counter.take_edition(&kept);
-                    Up::Holds { edition: counter.edition_number() }
+                    Up::Holds {
+                        edition: counter.edition_number(),
+                    }
                 }
-                Taken::Stale => Up::Holds { edition: counter.edition_number() },
+                Taken::Stale => Up::Holds {
+                    edition: counter.edition_number(),
+                },
                 Taken::Unfit => {
                     tracing::warn!(target: "edition", "A change does not fit; the whole is asked for.");
                     Up::Holds { edition: 0 }
--- a/crates/gateway/src/proxy/fallback_discovery.rs
+++ b/crates/gateway/src/proxy/fallback_discovery.rs
@@ -15,12 +15,14 @@
 const OF_CALLS: f64 = 0.5;
 
 pub async fn run(counter: Arc<Counter>) {
-    let Some(mut carrier) = Carrier::of(&counter.settings) else { return };
+    let Some(mut carrier) = Carrier::of(&counter.settings) else {
+        return;
+    };
     loop {
         // Counters that are cut off together must not ask in step.
         let all = f64::from(counter.state().counters.max(1));
-        let shared =
-            (2.0 * all / (OF_CALLS * counter.settings.borrow().carrier.per_s.max(1.0)) * 1e6) as Micros;
+        let shared = (2.0 * all / (OF_CALLS * counter.settings.borrow().carrier.per_s.max(1.0))
+            * 1e6) as Micros;
         let pause = EVERY.max(shared);
         let pause = rand::thread_rng().gen_range(pause / 2..pause * 3 / 2);
         tokio::time::sleep(span(pause)).await;
@@ -33,11 +35,19 @@
         }
         match carrier.list().await {
             Ok(list) if !counter.state().held => {
-                let entries = list.into_iter().map(|(id, entry)| (id, Some(entry))).collect();
-                counter.take_listing(&Listing { whole: true, entries });
+                let entries = list
+                    .into_iter()
+                    .map(|(id, entry)| (id, Some(entry)))
+                    .collect();
+                counter.take_listing(&Listing {
+                    whole: true,
+                    entries,
+                });
             }
             Ok(_) => {}
-            Err(failed) => tracing::warn!(target: "list", "The list could not be read: {failed:?}."),
+            Err(failed) => {
+                tracing::warn!(target: "list", "The list could not be read: {failed:?}.")
+            }
         }
     }
 }
--- a/crates/gateway/src/proxy/loopback_tests.rs
+++ b/crates/gateway/src/proxy/loopback_tests.rs
@@ -43,34 +43,53 @@
 
 impl Asked {
     fn id(&self) -> String {
-        let id = self.text.lines().find_map(|line| line.strip_prefix("try-id: "));
+        let id = self
+            .text
+            .lines()
+            .find_map(|line| line.strip_prefix("try-id: "));
         id.unwrap_or_default().to_owned()
     }
     fn whole(id: &str) -> String {
-        format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nPostmark: p\r\nContent-Length: {}\r\n\r\n{id}", id.len())
+        format!(
+            "HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nPostmark: p\r\nContent-Length: {}\r\n\r\n{id}",
+            id.len()
+        )
     }
     /// Answers, with what stands before and behind the answer.
     fn answer(self, before: &str, behind: &str) {
         let answer = Self::whole(&self.id());
-        self.reply.send(format!("{before}{answer}{behind}")).expect("the connection is up");
+        self.reply
+            .send(format!("{before}{answer}{behind}"))
+            .expect("the connection is up");
     }
 }
 
 async fn appliance(listener: TcpListener, tell: mpsc::UnboundedSender<Asked>) {
     for connection in 0.. {
-        let Ok((mut stream, _)) = listener.accept().await else { return };
+        let Ok((mut stream, _)) = listener.accept().await else {
+            return;
+        };
         let tell = tell.clone();
         tokio::spawn(async move {
             let mut bytes = Vec::new();
             loop {
                 let text = String::from_utf8_lossy(&bytes).into_owned();
-                let length = text.lines().find_map(|line| line.strip_prefix("content-length: "));
+                let length = text
+                    .lines()
+                    .find_map(|line| line.strip_prefix("content-length: "));
                 let length = length.map_or(0, |l| l.parse().expect("a number"));
-                let whole = text.find("\r\n\r\n").map(|at| at + 4 + length).filter(|end| *end <= bytes.len());
+                let whole = text
+                    .find("\r\n\r\n")
+                    .map(|at| at + 4 + length)
+                    .filter(|end| *end <= bytes.len());
                 if let Some(end) = whole {
                     bytes.drain(..end);
                     let (reply, answer) = oneshot::channel();
-                    let _ = tell.send(Asked { connection, text: text[..end].into(), reply });
+                    let _ = tell.send(Asked {
+                        connection,
+                        text: text[..end].into(),
+                        reply,
+                    });
                     let Ok(answer) = answer.await else { return };
                     let _ = stream.write_all(answer.as_bytes()).await;
                 } else if stream.read_buf(&mut bytes).await.unwrap_or(0) == 0 {
@@ -107,7 +126,10 @@
             1,
             super::connect::tcp(),
         ));
-        counter.take_edition(&Kept { number: 1, text: edition.into() });
+        counter.take_edition(&Kept {
+            number: 1,
+            text: edition.into(),
+        });
         let entry = Entry {
             service: "s".into(),
             address,
@@ -117,11 +139,18 @@
             state: State::Ready,
             cold: 0,
         };
-        counter.take_listing(&Listing { whole: true, entries: vec![("i-1".into(), Some(entry))] });
+        counter.take_listing(&Listing {
+            whole: true,
+            entries: vec![("i-1".into(), Some(entry))],
+        });
         counter.confirmed();
         let (near, door) = local().await;
         tokio::spawn(request_handler::run(counter.clone(), near));
-        Stage { counter, door, asked }
+        Stage {
+            counter,
+            door,
+            asked,
+        }
     }
 
     async fn client(&self) -> TcpStream {
@@ -141,20 +170,30 @@
 async fn until(client: &mut TcpStream, end: &str) -> String {
     let mut bytes = Vec::new();
     while !bytes.ends_with(end.as_bytes()) {
-        assert!(client.read_buf(&mut bytes).await.expect("bytes") > 0, "{}", String::from_utf8_lossy(&bytes));
+        assert!(
+            client.read_buf(&mut bytes).await.expect("bytes") > 0,
+            "{}",
+            String::from_utf8_lossy(&bytes)
+        );
     }
     String::from_utf8(bytes).expect("text")
 }
 
 async fn rest(client: &mut TcpStream) -> String {
     let mut text = String::new();
-    client.read_to_string(&mut text).await.expect("the end, in order");
+    client
+        .read_to_string(&mut text)
+        .await
+        .expect("the end, in order");
     text
 }
 
 /// Runs a test; whoever waits for what never comes fails.
 fn play(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let within = async { tokio::time::timeout(Duration::from_secs(30), test).await };
     runtime.block_on(within).expect("what is waited for comes");
 }
@@ -173,8 +212,17 @@
         client.write_all(sent.as_bytes()).await.expect("sent");
         stage.asked().await.answer("", "");
         let text = rest(&mut client).await;
-        assert!(text.starts_with("HTTP/1.1 200 OK") && text.contains("\r\n\r\nt1HTTP/1.1 400 Bad"), "{text}");
-        assert_eq!((text.matches("HTTP/1.1").count(), text.matches("connection: close").count()), (2, 1));
+        assert!(
+            text.starts_with("HTTP/1.1 200 OK") && text.contains("\r\n\r\nt1HTTP/1.1 400 Bad"),
+            "{text}"
+        );
+        assert_eq!(
+            (
+                text.matches("HTTP/1.1").count(),
+                text.matches("connection: close").count()
+            ),
+            (2, 1)
+        );
         assert!(stage.asked.try_recv().is_err(), "nothing more was asked");
     });
 }
@@ -187,17 +235,25 @@
         let mut client = stage.client().await;
         let head = request("PUT", "/once/a", "t1");
         let head = head.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n");
-        client.write_all(format!("{head}3\r\nabc\r\n").as_bytes()).await.expect("sent");
+        client
+            .write_all(format!("{head}3\r\nabc\r\n").as_bytes())
+            .await
+            .expect("sent");
         client
             .write_all(b"0x1\r\na\r\n0\r\n\r\nGET /safe/a HTTP/1.1\r\nHost: h\r\n\r\n")
             .await
             .expect("sent");
         let text = rest(&mut client).await;
-        assert!(text.starts_with("HTTP/1.1 400 ") && text.contains("connection: close"), "{text}");
+        assert!(
+            text.starts_with("HTTP/1.1 400 ") && text.contains("connection: close"),
+            "{text}"
+        );
         assert_eq!(text.matches("HTTP/1.1").count(), 1);
         assert!(stage.asked.try_recv().is_err(), "nothing was asked");
         let mut long = stage.client().await;
-        long.write_all(format!("GET /{} HTTP/1.1\r\n", "y".repeat(2000)).as_bytes()).await.expect("sent");
+        long.write_all(format!("GET /{} HTTP/1.1\r\n", "y".repeat(2000)).as_bytes())
+            .await
+            .expect("sent");
         assert!(rest(&mut long).await.starts_with("HTTP/1.1 431 "));
     });
 }
@@ -234,8 +290,9 @@
     play(async {
         let mut stage = Stage::new().await;
         let mut client = stage.client().await;
-        let mut sent: String =
-            (1..5).map(|i| request("GET", &format!("/safe/{i}"), &format!("t{i}"))).collect();
+        let mut sent: String = (1..5)
+            .map(|i| request("GET", &format!("/safe/{i}"), &format!("t{i}")))
+            .collect();
         sent += &request("POST", "/once/5", "t5");
         client.write_all(sent.as_bytes()).await.expect("sent");
         let mut waiting = Vec::new();
@@ -245,14 +302,20 @@
         assert!(waiting.iter().all(|w| w.id() != "t5"));
         waiting.sort_by_key(Asked::id);
         for asked in waiting.into_iter().rev() {
-            assert!(stage.asked.try_recv().is_err(), "an order does not start early");
+            assert!(
+                stage.asked.try_recv().is_err(),
+                "an order does not start early"
+            );
             asked.answer("", "");
         }
         let last = stage.asked().await;
         assert!(last.text.starts_with("POST /once/5 "));
         last.answer("", "");
         let text = until(&mut client, "\r\n\r\nt5").await;
-        let ids: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("try-id: ")).collect();
+        let ids: Vec<&str> = text
+            .lines()
+            .filter_map(|line| line.strip_prefix("try-id: "))
+            .collect();
         assert_eq!(ids, ["t1", "t2", "t3", "t4", "t5"]);
     });
 }
@@ -264,16 +327,26 @@
     play(async {
         let mut stage = Stage::new().await;
         let mut client = stage.client().await;
-        let sent = [request("GET", "/safe/1", "t1"), request("GET", "/safe/2", "t2")].concat();
+        let sent = [
+            request("GET", "/safe/1", "t1"),
+            request("GET", "/safe/2", "t2"),
+        ]
+        .concat();
         client.write_all(sent.as_bytes()).await.expect("sent");
         let both = [stage.asked().await, stage.asked().await];
         stage.counter.leaving.store(true, Ordering::Relaxed);
         stage.counter.left.notify_waiters();
-        client.write_all(request("POST", "/once/3", "t3").as_bytes()).await.expect("sent");
+        client
+            .write_all(request("POST", "/once/3", "t3").as_bytes())
+            .await
+            .expect("sent");
         both.into_iter().for_each(|asked| asked.answer("", ""));
         let text = rest(&mut client).await;
         let closing = text.find("connection: close").expect("told so");
-        assert!(text.find("t2").expect("answered") < text.len() && text.find("\r\n\r\nt1") < Some(closing));
+        assert!(
+            text.find("t2").expect("answered") < text.len()
+                && text.find("\r\n\r\nt1") < Some(closing)
+        );
         assert_eq!(text.matches("HTTP/1.1 200 OK").count(), 2);
         assert!(stage.asked.try_recv().is_err(), "nothing more was asked");
     });
@@ -287,16 +360,28 @@
         let mut stage = Stage::new().await;
         let mut client = stage.client().await;
         let (mut connections, late, surplus) = (Vec::new(), Asked::whole("t0"), Asked::whole("t9"));
-        for (i, (before, behind)) in
-            [("", ""), (late.as_str(), ""), ("", surplus.as_str()), ("", "")].iter().enumerate()
+        for (i, (before, behind)) in [
+            ("", ""),
+            (late.as_str(), ""),
+            ("", surplus.as_str()),
+            ("", ""),
+        ]
+        .iter()
+        .enumerate()
         {
             let id = format!("t{i}");
-            client.write_all(request("POST", "/once/a", &id).as_bytes()).await.expect("sent");
+            client
+                .write_all(request("POST", "/once/a", &id).as_bytes())
+                .await
+                .expect("sent");
             let asked = stage.asked().await;
             connections.push(asked.connection);
             asked.answer(before, behind);
             let text = until(&mut client, &format!("\r\n\r\n{id}")).await;
-            assert!(text.starts_with("HTTP/1.1 200 OK") && !text.contains("t9"), "{text}");
+            assert!(
+                text.starts_with("HTTP/1.1 200 OK") && !text.contains("t9"),
+                "{text}"
+            );
         }
         assert_eq!(connections, [0, 0, 0, 1]);
     });
@@ -311,15 +396,27 @@
         let mut client = stage.client().await;
         let waits = "PUT /once/a HTTP/1.1\r\nHost: h\r\nTry-Id: t1\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n";
         client.write_all(waits.as_bytes()).await.expect("sent");
-        assert_eq!(until(&mut client, "\r\n\r\n").await, "HTTP/1.1 100 Continue\r\n\r\n");
+        assert_eq!(
+            until(&mut client, "\r\n\r\n").await,
+            "HTTP/1.1 100 Continue\r\n\r\n"
+        );
         let old = "GET /safe/b HTTP/1.0\r\nHost: h\r\nTry-Id: t2\r\nConnection: keep-alive\r\n\r\n";
         let far = "BREW http://h/once/c?d HTTP/1.1\r\nHost: h\r\nTry-Id: t3\r\n\r\n";
-        client.write_all(format!("abc\r\n{old}{far}").as_bytes()).await.expect("sent");
-        for (begin, end) in
-            [("PUT /once/a ", "\r\n\r\nabc"), ("GET /safe/b ", "\r\n\r\n"), ("BREW /once/c?d ", "\r\n\r\n")]
-        {
+        client
+            .write_all(format!("abc\r\n{old}{far}").as_bytes())
+            .await
+            .expect("sent");
+        for (begin, end) in [
+            ("PUT /once/a ", "\r\n\r\nabc"),
+            ("GET /safe/b ", "\r\n\r\n"),
+            ("BREW /once/c?d ", "\r\n\r\n"),
+        ] {
             let asked = stage.asked().await;
-            assert!(asked.text.starts_with(begin) && asked.text.ends_with(end), "{}", asked.text);
+            assert!(
+                asked.text.starts_with(begin) && asked.text.ends_with(end),
+                "{}",
+                asked.text
+            );
             asked.answer("", "");
         }
         let text = until(&mut client, "\r\n\r\nt3").await;
@@ -335,22 +432,32 @@
         let short = r#""allowances":{"header":"150ms","idle":"300ms","#;
         let mut stage = Stage::with(&EDITION.replace(r#""allowances":{"#, short)).await;
         let mut busy = stage.client().await;
-        busy.write_all(request("POST", "/once/a", "t1").as_bytes()).await.expect("sent");
+        busy.write_all(request("POST", "/once/a", "t1").as_bytes())
+            .await
+            .expect("sent");
         let mut head = stage.client().await;
-        head.write_all(b"GET /safe/b HTTP/1.1\r\nHo").await.expect("sent");
+        head.write_all(b"GET /safe/b HTTP/1.1\r\nHo")
+            .await
+            .expect("sent");
         let mut body = stage.client().await;
-        let long = request("PUT", "/once/b", "t2").replace("\r\n\r\n", "\r\nContent-Length: 9\r\n\r\nabc");
+        let long =
+            request("PUT", "/once/b", "t2").replace("\r\n\r\n", "\r\nContent-Length: 9\r\n\r\nabc");
         body.write_all(long.as_bytes()).await.expect("sent");
         let asked = stage.asked().await;
         let mut idle = stage.client().await;
         assert_eq!(rest(&mut idle).await, "");
         for late in [&mut head, &mut body] {
             let text = rest(late).await;
-            assert!(text.starts_with("HTTP/1.1 408 ") && text.contains("connection: close"), "{text}");
+            assert!(
+                text.starts_with("HTTP/1.1 408 ") && text.contains("connection: close"),
+                "{text}"
+            );
         }
         // All that time one was in work.
         asked.answer("", "");
-        assert!(until(&mut busy, "\r\n\r\nt1").await.starts_with("HTTP/1.1 200 OK"));
+        assert!(until(&mut busy, "\r\n\r\nt1")
+            .await
+            .starts_with("HTTP/1.1 200 OK"));
         assert_eq!(rest(&mut busy).await, "");
         assert!(stage.asked.try_recv().is_err(), "nothing more was asked");
     });
--- a/crates/gateway/src/proxy/mod.rs
+++ b/crates/gateway/src/proxy/mod.rs
@@ -159,11 +159,15 @@
     }
 
     pub fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.state
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn pool(&self) -> MutexGuard<'_, Pool> {
-        self.pool.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.pool
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// SIGTERM has come: no new clients, what is in hand is answered.
@@ -190,7 +194,9 @@
     }
 
     fn orders(&self) -> MutexGuard<'_, Orders> {
-        self.orders.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.orders
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     pub fn leaving(&self) -> bool {
@@ -271,7 +277,12 @@
         if listing.whole {
             let named: std::collections::HashSet<&Arc<str>> =
                 listing.entries.iter().map(|(id, _)| id).collect();
-            let gone: Vec<Arc<str>> = state.field.ids().filter(|id| !named.contains(id)).cloned().collect();
+            let gone: Vec<Arc<str>> = state
+                .field
+                .ids()
+                .filter(|id| !named.contains(id))
+                .cloned()
+                .collect();
             for id in &gone {
                 state.field.drop(id);
             }
@@ -313,7 +324,12 @@
         let state = self.state();
         let mut services = Json::new_object();
         for service in state.edition.iter().flat_map(|e| e.fleets.keys()) {
-            let versions: Vec<String> = state.field.versions(service).iter().map(|v| v.to_string()).collect();
+            let versions: Vec<String> = state
+                .field
+                .versions(service)
+                .iter()
+                .map(|v| v.to_string())
+                .collect();
             let standing = state.standings.get(&**service);
             let rollout = standing.and_then(|s| s.rollout.as_ref());
             let shown = jzon::object! {
@@ -345,7 +361,9 @@
         let mut state = self.state();
         if state.counters != counters {
             state.counters = counters;
-            state.budget.share(self.settings.borrow().terms.retry_slack, counters);
+            state
+                .budget
+                .share(self.settings.borrow().terms.retry_slack, counters);
         }
     }
 
@@ -355,10 +373,16 @@
         let now = now();
         let told = state.trials.iter().filter_map(|(service, part)| {
             let standing = state.standings.get(service)?;
-            let rollout = standing.rollout.as_ref().filter(|r| r.order == part.trial.order())?;
+            let rollout = standing
+                .rollout
+                .as_ref()
+                .filter(|r| r.order == part.trial.order())?;
             Some(Evidence {
                 phase: Some(rollout.phase),
-                under_way: state.field.under_way(service, |v| !State::carries(Some(standing), v)) as u32,
+                under_way: state
+                    .field
+                    .under_way(service, |v| !State::carries(Some(standing), v))
+                    as u32,
                 age: now.saturating_sub(part.since),
                 ..part.trial.evidence()
             })
@@ -375,7 +399,11 @@
     /// How far a trial is open.
     pub fn take_stage(&self, service: &str, order: u64, stage: Stage) {
         let mut state = self.state();
-        if let Some(part) = state.trials.get_mut(service).filter(|p| p.trial.order() == order) {
+        if let Some(part) = state
+            .trials
+            .get_mut(service)
+            .filter(|p| p.trial.order() == order)
+        {
             part.trial.enter(stage);
         }
     }
@@ -385,13 +413,22 @@
         for (service, standing) in standings {
             match &standing.rollout {
                 Some(rollout) if matches!(rollout.phase, Phase::Trial | Phase::Moving) => {
-                    if state.trials.get(&service).is_none_or(|p| p.trial.order() != rollout.order) {
+                    if state
+                        .trials
+                        .get(&service)
+                        .is_none_or(|p| p.trial.order() != rollout.order)
+                    {
                         let rate = state.rates.get(&*service).map_or(0.0, |r| r.now(now));
                         let first = rand::thread_rng().gen_range(0.0..1.0);
                         let trial = Trial::new(service.as_str().into(), rollout.order, rate, first);
-                        state
-                            .trials
-                            .insert(service.clone(), Part { trial, to: rollout.to.clone(), since: now });
+                        state.trials.insert(
+                            service.clone(),
+                            Part {
+                                trial,
+                                to: rollout.to.clone(),
+                                since: now,
+                            },
+                        );
                     }
                 }
                 _ => {
@@ -419,7 +456,9 @@
 
     /// Whether a version of a service may get ordinary requests.
     pub fn carries(standing: Option<&Standing>, version: &str) -> bool {
-        let Some(standing) = standing else { return true };
+        let Some(standing) = standing else {
+            return true;
+        };
         let decided = |r: &&magpieline_control_plane::state_machine::Rollout| {
             matches!(r.phase, Phase::Moving | Phase::Delivered)
         };
@@ -454,7 +493,8 @@
         tokio::spawn(async move {
             let (read, mut write) = stream.into_split();
             let mut read = Frames::new(read);
-            let opening = tokio::time::timeout(crate::clock::span(SWEEP), read.next::<Opening>()).await;
+            let opening =
+                tokio::time::timeout(crate::clock::span(SWEEP), read.next::<Opening>()).await;
             if let Ok(Ok(Some(Opening::View))) = opening {
                 view::answer(&mut write, &counter.shown()).await;
             }
@@ -466,14 +506,20 @@
 pub async fn run(settings: Held, life: u64) -> std::io::Result<()> {
     let counter = Arc::new(Counter::new(settings, life, connect::tcp()));
     let machine = &counter.machine;
-    let (Some(front), Some(ready)) =
-        (machine.posts.get("front").copied(), machine.posts.get("ready").copied())
-    else {
-        return Err(std::io::Error::other("network.posts: expected front and ready"));
+    let (Some(front), Some(ready)) = (
+        machine.posts.get("front").copied(),
+        machine.posts.get("ready").copied(),
+    ) else {
+        return Err(std::io::Error::other(
+            "network.posts: expected front and ready",
+        ));
     };
     let door = net::listen(front)?;
     let asked = net::listen(ready)?;
-    let inner = net::listen(SocketAddrV4::new(counter.machine.ip, counter.machine.inner_ports.0))?;
+    let inner = net::listen(SocketAddrV4::new(
+        counter.machine.ip,
+        counter.machine.inner_ports.0,
+    ))?;
     tokio::spawn(shown(counter.clone(), inner));
     tokio::spawn(swept(counter.clone()));
     tokio::spawn(settings_reload::run(counter.clone()));
--- a/crates/gateway/src/proxy/readiness.rs
+++ b/crates/gateway/src/proxy/readiness.rs
@@ -20,12 +20,18 @@
         tokio::spawn(async move {
             let _ = crate::net::prepare(&stream);
             let answer = service_fn(move |_| {
-                let status = if counter.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+                let status = if counter.ready() {
+                    StatusCode::OK
+                } else {
+                    StatusCode::SERVICE_UNAVAILABLE
+                };
                 let mut response = Response::new(Full::<Bytes>::default());
                 *response.status_mut() = status;
                 async move { Ok::<_, Infallible>(response) }
             });
-            let _ = hyper::server::conn::http1::Builder::new().serve_connection(Wire(stream), answer).await;
+            let _ = hyper::server::conn::http1::Builder::new()
+                .serve_connection(Wire(stream), answer)
+                .await;
         });
     }
 }
