--- a/crates/gateway/src/proxy/request_handler.rs
+++ b/crates/gateway/src/proxy/request_handler.rs
@@ -9,7 +9,9 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, HOST, RETRY_AFTER};
+use hyper::header::{
+    HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, HOST, RETRY_AFTER,
+};
 use hyper::http::request::Parts;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode, Uri};
@@ -100,14 +102,33 @@
             told.await;
         }
     };
-    visit.run(serving, || bounds(&counter), left, |ahead| early(&counter, ahead)).await;
+    visit
+        .run(
+            serving,
+            || bounds(&counter),
+            left,
+            |ahead| early(&counter, ahead),
+        )
+        .await;
 }
 
 fn bounds(counter: &Counter) -> Bounds {
-    let allowed = counter.state().edition.as_ref().map(|e| e.allowances).unwrap_or_default();
+    let allowed = counter
+        .state()
+        .edition
+        .as_ref()
+        .map(|e| e.allowances)
+        .unwrap_or_default();
     // A longer rest may be in force for a client before it is here.
-    let rest = allowed.idle.saturating_add(counter.machine.terms.edition_time);
-    Bounds { head_bytes: allowed.header_bytes, head: allowed.header, idle: allowed.idle, rest }
+    let rest = allowed
+        .idle
+        .saturating_add(counter.machine.terms.edition_time);
+    Bounds {
+        head_bytes: allowed.header_bytes,
+        head: allowed.header,
+        idle: allowed.idle,
+        rest,
+    }
 }
 
 /// Counts a request while it is in hand, however it ends.
@@ -127,11 +148,18 @@
 }
 
 /// One request, from its head to its answer.
-async fn serve<S: Stream>(counter: &Arc<Counter>, visit: &Visit<S>, request: Request<Incoming>) -> Reply {
+async fn serve<S: Stream>(
+    counter: &Arc<Counter>,
+    visit: &Visit<S>,
+    request: Request<Incoming>,
+) -> Reply {
     let _in_hand = InHand::new(counter);
     let (taken, started) = visit.begin();
     let mut reply = match started {
-        Some(started) => started.answer().await.unwrap_or_else(|| own_end(Err(Next::Fail), taken)),
+        Some(started) => started
+            .answer()
+            .await
+            .unwrap_or_else(|| own_end(Err(Next::Fail), taken)),
         None => {
             let (head, body) = request.into_parts();
             // Just started: what it needs to know is on its way.
@@ -164,14 +192,22 @@
 /// Starts a request before its turn, if it is safe.
 fn early(counter: &Arc<Counter>, ahead: Early<'_>) -> Option<Started> {
     let (method, target) = head::first_of(ahead.head)?;
-    let mut request = Request::builder().method(method).uri(target).body(()).ok()?;
+    let mut request = Request::builder()
+        .method(method)
+        .uri(target)
+        .body(())
+        .ok()?;
     request.headers_mut().reserve(MOST_COMMON);
     for (name, value) in head::fields_of(ahead.head) {
         let name = HeaderName::from_bytes(name).ok()?;
-        request.headers_mut().append(name, HeaderValue::from_bytes(value).ok()?);
+        request
+            .headers_mut()
+            .append(name, HeaderValue::from_bytes(value).ok()?);
     }
     let (head, ()) = request.into_parts();
-    let found = found(counter, &head).ok().filter(|(_, route)| route.sort == Sort::Safe)?;
+    let found = found(counter, &head)
+        .ok()
+        .filter(|(_, route)| route.sort == Sort::Safe)?;
     let (counter, taken) = (counter.clone(), ahead.taken);
     Some(Started::new(tokio::spawn(async move {
         let _in_hand = InHand::new(&counter);
@@ -187,12 +223,17 @@
 }
 
 fn closing(mut reply: Reply) -> Reply {
-    reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    reply
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     reply
 }
 
 fn refused(left: Micros) -> Reply {
-    let mut reply = own(StatusCode::SERVICE_UNAVAILABLE, "It was not run; come back.\n".into());
+    let mut reply = own(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "It was not run; come back.\n".into(),
+    );
     if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", come_back(COME_BACK, left))) {
         reply.headers_mut().insert(RETRY_AFTER, value);
     }
@@ -206,7 +247,12 @@
     let Some(edition) = counter.state().edition.clone() else {
         return Err(Box::new(closing(refused(COME_BACK * 3))));
     };
-    let host = head.headers.get(HOST).and_then(|h| h.to_str().ok()).or(head.uri.host()).unwrap_or("");
+    let host = head
+        .headers
+        .get(HOST)
+        .and_then(|h| h.to_str().ok())
+        .or(head.uri.host())
+        .unwrap_or("");
     match edition.table().find(host, head.uri.path()).cloned() {
         Some(route) => Ok((edition, route)),
         None => {
@@ -229,17 +275,31 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let most = edition.allowances.body_bytes;
-    let told =
-        head.headers.get(CONTENT_LENGTH).and_then(|l| l.to_str().ok()).and_then(|l| l.parse::<u64>().ok());
+    let told = head
+        .headers
+        .get(CONTENT_LENGTH)
+        .and_then(|l| l.to_str().ok())
+        .and_then(|l| l.parse::<u64>().ok());
     if told.is_some_and(|length| length > most) {
-        return closing(own(StatusCode::PAYLOAD_TOO_LARGE, format!("At most {most} bytes.\n")));
+        return closing(own(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            format!("At most {most} bytes.\n"),
+        ));
     }
     let body = match Limited::new(body, most as usize).collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) if e.is::<LengthLimitError>() => {
-            return closing(own(StatusCode::PAYLOAD_TOO_LARGE, format!("At most {most} bytes.\n")))
+            return closing(own(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                format!("At most {most} bytes.\n"),
+            ))
+        }
+        Err(_) => {
+            return closing(own(
+                StatusCode::BAD_REQUEST,
+                "The body did not come whole.\n".into(),
+            ))
         }
-        Err(_) => return closing(own(StatusCode::BAD_REQUEST, "The body did not come whole.\n".into())),
     };
     // It is taken now, and what is in force now holds for it: a body may have been long in coming.
     let (edition, route) = match counter.edition_number() == edition.number {
@@ -252,9 +312,14 @@
     if route.sort == Sort::Safe {
         safe();
     }
-    let waits =
-        head.headers.get("time-left-ms").and_then(|v| v.to_str().ok()).and_then(|v| v.parse::<f64>().ok());
-    let waits = waits.filter(|w| w.is_finite() && *w >= 0.0).map_or(UNTOLD, |ms| (ms * 1e3) as Micros);
+    let waits = head
+        .headers
+        .get("time-left-ms")
+        .and_then(|v| v.to_str().ok())
+        .and_then(|v| v.parse::<f64>().ok());
+    let waits = waits
+        .filter(|w| w.is_finite() && *w >= 0.0)
+        .map_or(UNTOLD, |ms| (ms * 1e3) as Micros);
     let due = taken.saturating_add(waits.min(route.give_up));
     if let (None, Some(host)) = (head.headers.get(HOST), head.uri.host()) {
         if let Ok(host) = HeaderValue::from_str(host) {
@@ -266,8 +331,13 @@
         Some(path) if head.uri.scheme().is_some() => Uri::from(path.clone()),
         _ => head.uri,
     };
-    let parcel =
-        Parcel { method: head.method, uri, headers: upstream_request::passed_on(head.headers), body, due };
+    let parcel = Parcel {
+        method: head.method,
+        uri,
+        headers: upstream_request::passed_on(head.headers),
+        body,
+        due,
+    };
     carry(counter, edition, route, Arc::new(parcel)).await
 }
 
@@ -301,8 +371,13 @@
     /// Nothing is sent by an edition that has been overtaken: the way is found anew by what is in force now.
     fn renew(&mut self) -> Result<(), Halt> {
         let edition = self.counter.state().edition.clone();
-        let Some(edition) = edition.filter(|e| e.number != self.edition.number) else { return Ok(()) };
-        let route = edition.table().find(self.parcel.host(), self.parcel.uri.path()).cloned();
+        let Some(edition) = edition.filter(|e| e.number != self.edition.number) else {
+            return Ok(());
+        };
+        let route = edition
+            .table()
+            .find(self.parcel.host(), self.parcel.uri.path())
+            .cloned();
         let route = route.ok_or(Halt::NoRoute)?;
         if !route.parts.iter().any(|p| p.service == self.service) {
             self.service = part_of(&route);
@@ -324,7 +399,15 @@
         let (now, first) = (now(), self.tried.is_empty());
         let (chosen, errand) = {
             let mut state = self.counter.state();
-            let State { field, standings, budget, trials, rates, held, .. } = &mut *state;
+            let State {
+                field,
+                standings,
+                budget,
+                trials,
+                rates,
+                held,
+                ..
+            } = &mut *state;
             let standing = standings.get(&*self.service);
             let repeatable = self.journey.repeatable();
             let mut part = trials.get_mut(&*self.service);
@@ -343,11 +426,23 @@
             };
             // The design's index takes a first forward to the trial build, within the share; only while the leader is
             // held, who may have returned it otherwise.
-            let tried = part.as_ref().filter(|p| first && *held && p.trial.wants(repeatable)).and_then(|p| {
-                let trial = |version: &str| version == p.to;
-                let focus = p.trial.stage().focus;
-                field.choose(now, Ask { versions: &trial, focus, ..ask }).ok()
-            });
+            let tried = part
+                .as_ref()
+                .filter(|p| first && *held && p.trial.wants(repeatable))
+                .and_then(|p| {
+                    let trial = |version: &str| version == p.to;
+                    let focus = p.trial.stage().focus;
+                    field
+                        .choose(
+                            now,
+                            Ask {
+                                versions: &trial,
+                                focus,
+                                ..ask
+                            },
+                        )
+                        .ok()
+                });
             let choice = match tried {
                 Some(choice) => choice,
                 None => field.choose(now, ask).map_err(Halt::Nobody)?,
@@ -361,7 +456,9 @@
             if let (Some(part), true) = (&mut part, tried.is_some()) {
                 part.trial.sent();
             }
-            let Some(listed) = field.get(choice.appliance) else { return Err(Halt::Nobody(Nobody::Listed)) };
+            let Some(listed) = field.get(choice.appliance) else {
+                return Err(Halt::Nobody(Nobody::Listed));
+            };
             let errand = Errand {
                 id: listed.id.clone(),
                 address: listed.address,
@@ -377,7 +474,13 @@
         self.tried.push(chosen);
         self.journey.sent();
         self.arrived += 1;
-        upstream_request::start(self.counter.clone(), chosen, errand, self.parcel.clone(), self.tell.clone());
+        upstream_request::start(
+            self.counter.clone(),
+            chosen,
+            errand,
+            self.parcel.clone(),
+            self.tell.clone(),
+        );
         Ok(())
     }
 
@@ -388,7 +491,10 @@
 
 /// One of a route's services, by their shares.
 fn part_of(route: &Route) -> Arc<str> {
-    route.part(rand::thread_rng().gen_range(0.0..1.0)).service.clone()
+    route
+        .part(rand::thread_rng().gen_range(0.0..1.0))
+        .service
+        .clone()
 }
 
 /// Sends a request on, again where that is allowed, and turns the ending into its answer. One that may run once only is let
@@ -400,12 +506,18 @@
     parcel: Arc<Parcel>,
 ) -> Reply {
     let due = parcel.due;
-    let id = parcel.headers.get(upstream_request::TRY_ID).map(|id| id.as_bytes());
+    let id = parcel
+        .headers
+        .get(upstream_request::TRY_ID)
+        .map(|id| id.as_bytes());
     let Some(id) = id.filter(|_| route.sort != Sort::Safe) else {
         return own_end(travel(counter, edition, route, parcel.clone()).await, due);
     };
     if !counter.orders().admit(now(), id, parcel.uri.path()) {
-        return own(StatusCode::CONFLICT, "This Try-Id is at work, or may have run.\n".into());
+        return own(
+            StatusCode::CONFLICT,
+            "This Try-Id is at work, or may have run.\n".into(),
+        );
     }
     let end = travel(counter, edition, route, parcel.clone()).await;
     if matches!(end, Err(Next::Refuse)) {
@@ -426,15 +538,26 @@
     counter.state().budget.taken(&service);
     let (tell, mut endings) = mpsc::unbounded_channel();
     let journey = Journey::new(route.sort == Sort::Safe, route.tries, due);
-    let mut trip =
-        Trip { counter, edition, route, service, parcel, journey, tried: Vec::new(), arrived: 0, tell };
+    let mut trip = Trip {
+        counter,
+        edition,
+        route,
+        service,
+        parcel,
+        journey,
+        tried: Vec::new(),
+        arrived: 0,
+        tell,
+    };
     loop {
         if let Err(halt) = trip.send(f64::INFINITY) {
             match halt {
                 Halt::Nobody(why) => {
                     tracing::debug!(target: "request", "Nobody for {}: {why:?}.", trip.service)
                 }
-                other => tracing::debug!(target: "request", "Not sent to {}: {other:?}.", trip.service),
+                other => {
+                    tracing::debug!(target: "request", "Not sent to {}: {other:?}.", trip.service)
+                }
             }
             return Err(trip.journey.give_up(now()));
         }
@@ -473,10 +596,14 @@
     match end {
         Ok(reply) => reply,
         Err(Next::Refuse) => refused(due.saturating_sub(now())),
-        Err(Next::TooLate) => {
-            own(StatusCode::GATEWAY_TIMEOUT, "No answer in time; it may have run.\n".into())
-        }
-        Err(_) => own(StatusCode::BAD_GATEWAY, "It failed on the way; it may have run.\n".into()),
+        Err(Next::TooLate) => own(
+            StatusCode::GATEWAY_TIMEOUT,
+            "No answer in time; it may have run.\n".into(),
+        ),
+        Err(_) => own(
+            StatusCode::BAD_GATEWAY,
+            "It failed on the way; it may have run.\n".into(),
+        ),
     }
 }
 
--- a/crates/gateway/src/proxy/settings_reload.rs
+++ b/crates/gateway/src/proxy/settings_reload.rs
@@ -9,6 +9,8 @@
         let terms = settings.borrow_and_update().terms.clone();
         let mut state = counter.state();
         let counters = state.counters;
-        state.budget.retune(terms.retry_ratio, terms.retry_slack, counters);
+        state
+            .budget
+            .retune(terms.retry_ratio, terms.retry_slack, counters);
     }
 }
--- a/crates/gateway/src/proxy/upstream_connection.rs
+++ b/crates/gateway/src/proxy/upstream_connection.rs
@@ -37,7 +37,12 @@
         S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
         let echo = Shared::default();
-        let (sender, rest) = http1::handshake(Side { stream, echo: echo.clone() }).await.ok()?;
+        let (sender, rest) = http1::handshake(Side {
+            stream,
+            echo: echo.clone(),
+        })
+        .await
+        .ok()?;
         tokio::spawn(rest);
         Some(Line { sender, echo })
     }
@@ -63,8 +68,14 @@
     }
 
     /// Sends a request and waits for the head of its answer.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Unanswered> {
-        let id = request.headers().get(TRY_ID).map_or(&b""[..], |id| id.as_bytes());
+    pub async fn send(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, Unanswered> {
+        let id = request
+            .headers()
+            .get(TRY_ID)
+            .map_or(&b""[..], |id| id.as_bytes());
         if !open(&self.echo).ask(id, request.method() == Method::HEAD) {
             return Err(Unanswered::Unsent);
         }
@@ -137,7 +148,11 @@
 }
 
 impl<S: AsyncWrite + Unpin> hyper::rt::Write for Side<S> {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[io::IoSlice::new(bytes)])
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/gateway/src/proxy/upstream_request.rs
+++ b/crates/gateway/src/proxy/upstream_request.rs
@@ -8,8 +8,8 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{
-    HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, EXPECT, HOST, TE,
-    TRAILER, TRANSFER_ENCODING, UPGRADE,
+    HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, EXPECT, HOST,
+    TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 use hyper::{Method, Request, Response, Uri};
 use magpieline_config::route_table::Route;
@@ -50,7 +50,10 @@
 impl Parcel {
     /// The host that it is for.
     pub fn host(&self) -> &str {
-        self.headers.get(HOST).and_then(|h| h.to_str().ok()).unwrap_or("")
+        self.headers
+            .get(HOST)
+            .and_then(|h| h.to_str().ok())
+            .unwrap_or("")
     }
 }
 
@@ -121,13 +124,17 @@
         let _flight = flight;
         let mut met = Met::default();
         let left = parcel.due.saturating_sub(sent);
-        let (ending, answer) =
-            match timeout(span(left), one(&counter, appliance, &errand, &parcel, &mut met)).await {
-                Ok(done) => done,
-                // Where no byte of it has left by now, none will.
-                Err(_) if met.recall.take().is_none_or(Recall::call_off) => (Ending::NeverSent, None),
-                Err(_) => (Ending::Silent, None),
-            };
+        let (ending, answer) = match timeout(
+            span(left),
+            one(&counter, appliance, &errand, &parcel, &mut met),
+        )
+        .await
+        {
+            Ok(done) => done,
+            // Where no byte of it has left by now, none will.
+            Err(_) if met.recall.take().is_none_or(Recall::call_off) => (Ending::NeverSent, None),
+            Err(_) => (Ending::Silent, None),
+        };
         let sign = match ending {
             Ending::Answered { status } if status < 500 => Sign::Served,
             Ending::Answered { .. } => Sign::Failed,
@@ -140,7 +147,13 @@
         };
         {
             let mut state = counter.state();
-            tell_trial(&mut state, &errand, appliance, ending, now().saturating_sub(sent));
+            tell_trial(
+                &mut state,
+                &errand,
+                appliance,
+                ending,
+                now().saturating_sub(sent),
+            );
             state.field.ended(now(), appliance, number, sign, met.load);
         }
         let _ = tell.send((appliance, ending, answer));
@@ -182,11 +195,24 @@
 }
 
 /// Keeps a connection for further requests, once it is free.
-async fn keep(counter: &Counter, appliance: usize, id: &Arc<str>, mut line: Line, kept: Option<Micros>) {
-    if !timeout(span(FREE_WITHIN), line.ready()).await.unwrap_or(false) {
+async fn keep(
+    counter: &Counter,
+    appliance: usize,
+    id: &Arc<str>,
+    mut line: Line,
+    kept: Option<Micros>,
+) {
+    if !timeout(span(FREE_WITHIN), line.ready())
+        .await
+        .unwrap_or(false)
+    {
         return;
     }
-    let open = counter.state().field.get(appliance).is_some_and(|a| !a.closing && a.id == *id);
+    let open = counter
+        .state()
+        .field
+        .get(appliance)
+        .is_some_and(|a| !a.closing && a.id == *id);
     if open {
         counter.pool().put(id.clone(), line, kept);
     }
@@ -194,8 +220,10 @@
 
 /// Tells the service's trial, if there is one, how a forward ended.
 fn tell_trial(state: &mut State, errand: &Errand, appliance: usize, ending: Ending, spent: Micros) {
-    let (Some(part), Some(listed)) = (state.trials.get_mut(&*errand.service), state.field.get(appliance))
-    else {
+    let (Some(part), Some(listed)) = (
+        state.trials.get_mut(&*errand.service),
+        state.field.get(appliance),
+    ) else {
         return;
     };
     if listed.id != errand.id {
@@ -241,7 +269,11 @@
 fn still_allowed(counter: &Counter, appliance: usize, errand: &Errand, parcel: &Parcel) -> bool {
     let state = counter.state();
     // Its handle may be another appliance's by now, and that of another service.
-    let Some(listed) = state.field.get(appliance).filter(|a| a.id == errand.id && !a.closing) else {
+    let Some(listed) = state
+        .field
+        .get(appliance)
+        .filter(|a| a.id == errand.id && !a.closing)
+    else {
         return false;
     };
     let standing = state.standings.get(&*errand.service);
@@ -251,7 +283,8 @@
     let edition = state.edition.as_ref().is_some_and(|edition| {
         let new = || edition.table().find(parcel.host(), parcel.uri.path());
         let goes = |route: &Arc<Route>| {
-            route.sort == errand.route.sort && route.parts.iter().any(|p| p.service == errand.service)
+            route.sort == errand.route.sort
+                && route.parts.iter().any(|p| p.service == errand.service)
         };
         edition.number == errand.edition || new().is_some_and(goes)
     });
@@ -312,9 +345,16 @@
         return (Ending::Spoilt, None); // another request's answer, come late
     }
     // Without a told length the end of a body can't be told from a break.
-    let measured = body.size_hint().exact().is_some() || head.headers.contains_key("transfer-encoding");
-    let Ok(body) = Limited::new(body, LONGEST).collect().await else { return (Ending::Broken, None) };
-    met.load = head.headers.get(LOAD).and_then(|v| v.to_str().ok()).and_then(read_load);
+    let measured =
+        body.size_hint().exact().is_some() || head.headers.contains_key("transfer-encoding");
+    let Ok(body) = Limited::new(body, LONGEST).collect().await else {
+        return (Ending::Broken, None);
+    };
+    met.load = head
+        .headers
+        .get(LOAD)
+        .and_then(|v| v.to_str().ok())
+        .and_then(read_load);
     let kept = kept_for(&head.headers);
     let promised = head.headers.contains_key(NOT_DELIVERED) || status == 421;
     let spoilt = !measured
@@ -331,20 +371,33 @@
         return (Ending::Answered { status }, None);
     }
     let headers = passed_on(head.headers);
-    (Ending::Answered { status }, Some(request_handler::answered(head.status, headers, body.to_bytes())))
+    (
+        Ending::Answered { status },
+        Some(request_handler::answered(
+            head.status,
+            headers,
+            body.to_bytes(),
+        )),
+    )
 }
 
 /// `Load`: requests running, waiting, and slots, joined by commas.
 fn read_load(text: &str) -> Option<Load> {
     let mut parts = text.split(',').map(|p| p.trim().parse::<u32>());
     let mut next = || parts.next()?.ok();
-    Some(Load { running: next()?, waiting: next()?, berths: next()? })
+    Some(Load {
+        running: next()?,
+        waiting: next()?,
+        berths: next()?,
+    })
 }
 
 /// The time that `Keep-Alive` gives, in whole seconds.
 fn kept_for(headers: &HeaderMap) -> Option<Micros> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let parts = text.split([',', ';']).map(str::trim);
-    let seconds = parts.filter_map(|p| p.strip_prefix("timeout=").unwrap_or(p).parse::<u64>().ok()).next()?;
+    let seconds = parts
+        .filter_map(|p| p.strip_prefix("timeout=").unwrap_or(p).parse::<u64>().ok())
+        .next()?;
     Some(seconds.saturating_mul(1_000_000))
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -58,9 +58,17 @@
     pub fn open(path: PathBuf) -> Result<Watcher, Vec<String>> {
         let text = std::fs::read_to_string(&path).map_err(|e| vec![unreadable(&path, &e)])?;
         let machine = Machine::read(&text).map_err(|wrong| {
-            wrong.iter().map(|complaint| format!("{}: {complaint}", path.display())).collect::<Vec<_>>()
+            wrong
+                .iter()
+                .map(|complaint| format!("{}: {complaint}", path.display()))
+                .collect::<Vec<_>>()
         })?;
-        Ok(Watcher { path, machine: Arc::new(machine), seen: Some(text.clone()), judged: Some(text) })
+        Ok(Watcher {
+            path,
+            machine: Arc::new(machine),
+            seen: Some(text.clone()),
+            judged: Some(text),
+        })
     }
 
     pub fn machine(&self) -> &Arc<Machine> {
@@ -95,7 +103,10 @@
                 Look::Taken(self.machine.clone(), restarts)
             }
             Err(wrong) => {
-                let list: Vec<String> = wrong.iter().map(|complaint| complaint.to_string()).collect();
+                let list: Vec<String> = wrong
+                    .iter()
+                    .map(|complaint| complaint.to_string())
+                    .collect();
                 Look::Wrong(format!("{}: {}", self.path.display(), list.join("; ")))
             }
         }
@@ -137,7 +148,11 @@
         ("network.posts", began.posts != told.posts),
     ];
     // `first_run` is meant to change: it says how the system began.
-    changed.into_iter().filter(|(_, changed)| *changed).map(|(name, _)| name).collect()
+    changed
+        .into_iter()
+        .filter(|(_, changed)| *changed)
+        .map(|(name, _)| name)
+        .collect()
 }
 
 /// Watches the file for as long as the process lives; the settings in force, always. To be called inside the runtime:
@@ -201,8 +216,10 @@
 
     impl Folder {
         fn new(name: &str) -> Folder {
-            let path = std::env::temp_dir()
-                .join(format!("magpieline-gateway-settings-{name}-{}", std::process::id()));
+            let path = std::env::temp_dir().join(format!(
+                "magpieline-gateway-settings-{name}-{}",
+                std::process::id()
+            ));
             std::fs::create_dir_all(&path).expect("a folder");
             Folder(path)
         }
@@ -230,17 +247,32 @@
         write(&folder.file(), TEXT);
         let mut watcher = Watcher::open(folder.file()).expect("sound");
         assert_eq!(watcher.look(), Look::Same);
-        let changed = TEXT.replace("58", "20").replace("10.1.0.16", "10.1.0.17").replace(".0.79", ".0.80");
+        let changed = TEXT
+            .replace("58", "20")
+            .replace("10.1.0.16", "10.1.0.17")
+            .replace(".0.79", ".0.80");
         let cut = changed.split("[provisions").next().expect("a part");
         assert!(Machine::read(cut).is_ok());
         write(&folder.file(), cut);
         assert_eq!(watcher.look(), Look::New);
         write(&folder.file(), &changed);
         assert_eq!(watcher.look(), Look::New);
-        let Look::Taken(machine, restarts) = watcher.look() else { panic!("not taken") };
-        assert_eq!((machine.terms.retry_slack, machine.seeds.len(), restarts.len()), (20.0, 1, 0));
+        let Look::Taken(machine, restarts) = watcher.look() else {
+            panic!("not taken")
+        };
+        assert_eq!(
+            (
+                machine.terms.retry_slack,
+                machine.seeds.len(),
+                restarts.len()
+            ),
+            (20.0, 1, 0)
+        );
         assert_eq!(machine.seeds[0].to_string(), "10.1.0.17:8166");
-        assert_eq!(machine.carrier.address.map(|a| a.to_string()).as_deref(), Some("10.200.0.80:8169"));
+        assert_eq!(
+            machine.carrier.address.map(|a| a.to_string()).as_deref(),
+            Some("10.200.0.80:8169")
+        );
         assert_eq!(watcher.look(), Look::Same);
     }
 
@@ -277,9 +309,16 @@
         let folder = Folder::new("restart");
         write(&folder.file(), TEXT);
         let mut watcher = Watcher::open(folder.file()).expect("sound");
-        write(&folder.file(), &TEXT.replace("8161", "9161").replace("zone = \"a\"", "zone = \"b\""));
+        write(
+            &folder.file(),
+            &TEXT
+                .replace("8161", "9161")
+                .replace("zone = \"a\"", "zone = \"b\""),
+        );
         watcher.look();
-        let Look::Taken(machine, restarts) = watcher.look() else { panic!("not taken") };
+        let Look::Taken(machine, restarts) = watcher.look() else {
+            panic!("not taken")
+        };
         assert_eq!(restarts, ["self.zone", "network.posts"]);
         assert_eq!((&*machine.zone, machine.posts["front"].port()), ("a", 8161));
     }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -19,9 +19,13 @@
 pub async fn ask(at: SocketAddrV4) -> Result<Json, String> {
     let failed = |what: &str| format!("{at}: {what}");
     let asking = async {
-        let stream = net::connect(at, WITHIN).await.map_err(|e| failed(&format!("no connection: {e}")))?;
+        let stream = net::connect(at, WITHIN)
+            .await
+            .map_err(|e| failed(&format!("no connection: {e}")))?;
         let (read, mut write) = stream.into_split();
-        net::say(&mut write, &Opening::View).await.map_err(|e| failed(&e.to_string()))?;
+        net::say(&mut write, &Opening::View)
+            .await
+            .map_err(|e| failed(&e.to_string()))?;
         let text: Option<String> = Frames::new(read)
             .next()
             .await
@@ -29,7 +33,9 @@
         let text = text.ok_or_else(|| failed("found nothing, expected a view"))?;
         jzon::parse(&text).map_err(|_| failed("found what is no view, expected JSON"))
     };
-    tokio::time::timeout(crate::clock::span(WITHIN), asking).await.map_err(|_| failed("no answer in time"))?
+    tokio::time::timeout(crate::clock::span(WITHIN), asking)
+        .await
+        .map_err(|_| failed("no answer in time"))?
 }
 
 /// A view as a table: names and values, one a line; what is in lists and objects is indented.
@@ -78,16 +84,18 @@
         Json::Null => "-".into(),
         Json::Array(_) => "none".into(),
         // Whole numbers stay as they are; nobody reads more than three digits of a part.
-        Json::Number(_) if value.as_u64().is_none() => {
-            value.as_f64().map_or_else(|| value.dump(), |n| ((n * 1e3).round() / 1e3).to_string())
-        }
+        Json::Number(_) if value.as_u64().is_none() => value
+            .as_f64()
+            .map_or_else(|| value.dump(), |n| ((n * 1e3).round() / 1e3).to_string()),
         other => other.as_str().map_or_else(|| other.dump(), str::to_owned),
     }
 }
 
 /// An object of plain values as one line.
 fn row(value: &Json) -> Option<String> {
-    let Json::Object(object) = value else { return None };
+    let Json::Object(object) = value else {
+        return None;
+    };
     let cells: Option<Vec<String>> = object
         .iter()
         .map(|(name, value)| is_plain(value).then(|| format!("{name} {}", plain(value))))
@@ -107,7 +115,13 @@
         assert_eq!(lines[0], "role      Leader");
         assert_eq!(lines[2], "  address 10.0.0.1:7720  life 0");
         assert_eq!(lines[3], "learners  none");
-        let expected = ["services", "  s", "    version   v1", "    rollout   -", "    usual_ms  42.003"];
+        let expected = [
+            "services",
+            "  s",
+            "    version   v1",
+            "    rollout   -",
+            "    usual_ms  42.003",
+        ];
         assert_eq!(&lines[4..], expected);
     }
 }
--- a/crates/gateway/tests/commands.rs
+++ b/crates/gateway/tests/commands.rs
@@ -35,8 +35,16 @@
         .spawn()
         .expect("the program starts");
     // It may end without reading.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    let Output { status, stdout, stderr } = child.wait_with_output().expect("the program ends");
+    let _ = child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes());
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = child.wait_with_output().expect("the program ends");
     let text = |bytes| String::from_utf8(bytes).expect("text");
     (status.code().unwrap_or(-1), text(stdout), text(stderr))
 }
@@ -46,8 +54,10 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path =
-            std::env::temp_dir().join(format!("magpieline-gateway-commands-{name}-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "magpieline-gateway-commands-{name}-{}",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
@@ -79,7 +89,10 @@
 #[case(&["proxy", "--log", "a=b=c"], "--log: found 'a=b=c', expected a level")]
 fn wrong_use_ends_with_2_and_usage(#[case] arguments: &[&str], #[case] says: &str) {
     let (code, out, err) = gateway(arguments, "");
-    assert!(err.contains(says) && err.contains("\nUsage: magpieline-gateway"), "{err}");
+    assert!(
+        err.contains(says) && err.contains("\nUsage: magpieline-gateway"),
+        "{err}"
+    );
     assert_eq!((code, &*out), (2, ""));
 }
 
@@ -88,12 +101,27 @@
 fn help_and_version_are_done() {
     let (code, out, err) = gateway(&["--help"], "");
     assert_eq!((code, &*err), (0, ""));
-    for command in ["proxy", "controller", "check", "send", "read", "rollout", "view", "store"] {
+    for command in [
+        "proxy",
+        "controller",
+        "check",
+        "send",
+        "read",
+        "rollout",
+        "view",
+        "store",
+    ] {
         assert!(out.contains(&format!("\n  {command} ")), "{out}");
         let (code, out, _) = gateway(&[command, "--help"], "");
-        assert!(code == 0 && out.contains(&format!("Examples:\n  magpieline-gateway {command} ")), "{out}");
+        assert!(
+            code == 0 && out.contains(&format!("Examples:\n  magpieline-gateway {command} ")),
+            "{out}"
+        );
     }
-    assert_eq!(gateway(&["--version"], "").1, format!("magpieline-gateway {}\n", env!("CARGO_PKG_VERSION")));
+    assert_eq!(
+        gateway(&["--version"], "").1,
+        format!("magpieline-gateway {}\n", env!("CARGO_PKG_VERSION"))
+    );
 }
 
 /// Guards against a file that is taken for the other kind, and against sound files that are not shown for what they are.
@@ -111,10 +139,19 @@
     );
     assert!(lines.contains(&&*format!("{configuration}: a configuration, sound")));
     assert!(lines.contains(&"  routes      1: 1 safe, 0 unsafe, 0 of them split"));
-    assert!(out.contains("note: route r-1 of a.example is never met: its prefix is '/x'"), "{out}");
-    assert!(out.contains("note: service unused: no route goes to it"), "{out}");
+    assert!(
+        out.contains("note: route r-1 of a.example is never met: its prefix is '/x'"),
+        "{out}"
+    );
+    assert!(
+        out.contains("note: service unused: no route goes to it"),
+        "{out}"
+    );
     let (_, out, _) = gateway(&["check", "--json", "-"], CONFIGURATION);
-    assert!(out.starts_with(r#"{"file":"-","kind":"configuration","sound":true,"#), "{out}");
+    assert!(
+        out.starts_with(r#"{"file":"-","kind":"configuration","sound":true,"#),
+        "{out}"
+    );
 }
 
 /// Guards against an unsound file that passes, and against complaints that are kept back.
@@ -127,13 +164,35 @@
         )
     };
     let routes: Vec<String> = (0..30).map(route).collect();
-    let text = CONFIGURATION.replace("\"regulations\":[", &format!("\"regulations\":[{},", routes.join(",")));
-    let (good, bad) = (folder.file("good", CONFIGURATION), folder.file("bad", &text));
+    let text = CONFIGURATION.replace(
+        "\"regulations\":[",
+        &format!("\"regulations\":[{},", routes.join(",")),
+    );
+    let (good, bad) = (
+        folder.file("good", CONFIGURATION),
+        folder.file("bad", &text),
+    );
     let (code, out, _) = gateway(&["check", &good, &bad], "");
-    assert_eq!((code, out.matches(": found 'odd', expected 'safe' or 'unsafe'").count()), (1, 30));
+    assert_eq!(
+        (
+            code,
+            out.matches(": found 'odd', expected 'safe' or 'unsafe'")
+                .count()
+        ),
+        (1, 30)
+    );
     let (code, out, err) = gateway(&["check", "--kind", "settings", &good, "/no/such/file"], "");
-    assert!(out.contains("a machine's settings, 1 complaint\n  line 1: found "), "{out}");
-    assert_eq!((code, &*err), (1, "/no/such/file: can't be read: No such file or directory (os error 2)\n"));
+    assert!(
+        out.contains("a machine's settings, 1 complaint\n  line 1: found "),
+        "{out}"
+    );
+    assert_eq!(
+        (code, &*err),
+        (
+            1,
+            "/no/such/file: can't be read: No such file or directory (os error 2)\n"
+        )
+    );
 }
 
 /// Answers calls on loopback, one connection each, with what `answer` makes of the request's head and body.
@@ -148,7 +207,9 @@
             let whole = |bytes: &[u8]| {
                 let text = String::from_utf8_lossy(bytes).into_owned();
                 let (head, body) = text.split_once("\r\n\r\n")?;
-                let told = head.lines().find_map(|l| l.strip_prefix("content-length: "));
+                let told = head
+                    .lines()
+                    .find_map(|l| l.strip_prefix("content-length: "));
                 let length: usize = told.and_then(|l| l.parse().ok()).unwrap_or(0);
                 (body.len() >= length).then_some(text)
             };
@@ -170,7 +231,10 @@
 }
 
 fn answer(status: &str, more: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\nConnection: close\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// Guards against calls that stay with a machine that does not lead, and against a configuration that is told to be in
@@ -180,39 +244,55 @@
     let folder = Folder::new("send");
     let file = folder.file("c", CONFIGURATION);
     let newer = CONFIGURATION.replace("\"edition\":7", "\"edition\":9");
-    for (held, code, says) in [(CONFIGURATION, 0, "and is in force."), (&*newer, 1, "edition 9 is in force.")]
-    {
-        let (leader, asked) =
-            stand_in(vec![answer("200 OK", "", "{\"edition\":7}"), answer("200 OK", "", held)]);
+    for (held, code, says) in [
+        (CONFIGURATION, 0, "and is in force."),
+        (&*newer, 1, "edition 9 is in force."),
+    ] {
+        let (leader, asked) = stand_in(vec![
+            answer("200 OK", "", "{\"edition\":7}"),
+            answer("200 OK", "", held),
+        ]);
         let to = format!("Location: http://{leader}/v1/rpc?call=config.replace\r\n");
         let read = format!("Location: http://{leader}/v1/rpc?call=config.read\r\n");
         let moved = |to: &str| answer("307 Temporary Redirect", to, "{}");
         let (other, _) = stand_in(vec![moved(&to), moved(&read)]);
         let (ended, out, err) = gateway(&["send", &other.to_string(), &file], "");
         assert!(format!("{out}{err}").contains(says), "{out}{err}");
-        let calls = ["POST /v1/rpc?call=config.replace HTTP/1.1", "POST /v1/rpc?call=config.read HTTP/1.1"];
-        assert_eq!((ended, asked.join().expect("answered")), (code, calls.map(str::to_owned).to_vec()));
+        let calls = [
+            "POST /v1/rpc?call=config.replace HTTP/1.1",
+            "POST /v1/rpc?call=config.read HTTP/1.1",
+        ];
+        assert_eq!(
+            (ended, asked.join().expect("answered")),
+            (code, calls.map(str::to_owned).to_vec())
+        );
     }
 }
 
 /// Guards against an order that is repeated after a clear refusal, or given up at the first machine that is down.
 #[test]
 fn refusals_end_a_call_and_dead_machines_do_not() {
-    let dead =
-        TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port that is free again");
-    let fault = r#"{"fault":[{"place":"service","found":"a rollout to v3 under way","expected":"none"}]}"#;
+    let dead = TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a port that is free again");
+    let fault =
+        r#"{"fault":[{"place":"service","found":"a rollout to v3 under way","expected":"none"}]}"#;
     let (at, asked) = stand_in(vec![answer("409 Conflict", "", fault)]);
     let both = format!("{dead},{at}");
     let (code, out, err) = gateway(&["rollout", &both, "s", "v2", "--within", "12s"], "");
     assert_eq!((code, &*out), (1, ""));
     assert!(
-        err.contains("refused it (409):\n  service: found a rollout to v3 under way, expected none"),
+        err.contains(
+            "refused it (409):\n  service: found a rollout to v3 under way, expected none"
+        ),
         "{err}"
     );
     assert_eq!(asked.join().expect("answered").len(), 1);
     let (code, _, err) = gateway(&["read", &dead.to_string(), "--patience", "1ms"], "");
     assert!(
-        code == 1 && err.contains("no clear answer") && err.contains(&format!("{dead}: no connection")),
+        code == 1
+            && err.contains("no clear answer")
+            && err.contains(&format!("{dead}: no connection")),
         "{err}"
     );
     let unsound = CONFIGURATION.replace("\"service\":\"s\"", "\"service\":\"z\"");
@@ -228,10 +308,32 @@
 #[case("delivered", 0)]
 #[case("returned", 1)]
 fn a_rollout_that_is_waited_for_ends_as_it_ended(#[case] state: &str, #[case] code: i32) {
-    let told = |state: &str| answer("200 OK", "", &format!(r#"{{"state":"{state}","to_edition":"v2"}}"#));
+    let told = |state: &str| {
+        answer(
+            "200 OK",
+            "",
+            &format!(r#"{{"state":"{state}","to_edition":"v2"}}"#),
+        )
+    };
     let (at, asked) = stand_in(vec![answer("200 OK", "", "{}"), told(state)]);
-    let (ended, out, err) =
-        gateway(&["rollout", &at.to_string(), "s", "v2", "--within", "12s", "--wait"], "");
-    assert_eq!((ended, format!("{out}{err}")), (code, format!("s to v2: {state}.\n")));
-    assert_eq!(asked.join().expect("answered")[1], "POST /v1/rpc?call=editions.read&of=s HTTP/1.1");
+    let (ended, out, err) = gateway(
+        &[
+            "rollout",
+            &at.to_string(),
+            "s",
+            "v2",
+            "--within",
+            "12s",
+            "--wait",
+        ],
+        "",
+    );
+    assert_eq!(
+        (ended, format!("{out}{err}")),
+        (code, format!("s to v2: {state}.\n"))
+    );
+    assert_eq!(
+        asked.join().expect("answered")[1],
+        "POST /v1/rpc?call=editions.read&of=s HTTP/1.1"
+    );
 }
--- a/crates/gateway/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -1,7 +1,9 @@
 //! A counter's first contact, with real processes on loopback: what makes it ready, and whose words it takes.
 
 use magpieline_control_plane::delta;
-use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Hello, Listing, Opening, Piece, Up};
+use magpieline_control_plane::messages::{
+    frame, unframe, Down, Fenced, Hello, Listing, Opening, Piece, Up,
+};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -19,13 +21,21 @@
 
 impl Process {
     fn start(role: &str, name: &str, settings: &str) -> Process {
-        let folder =
-            std::env::temp_dir().join(format!("magpieline-gateway-contact-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "magpieline-gateway-contact-{name}-{}",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&folder).expect("a folder");
         let file = folder.join("settings.toml");
-        std::fs::write(&file, settings.replace("STORE", &folder.display().to_string())).expect("written");
+        std::fs::write(
+            &file,
+            settings.replace("STORE", &folder.display().to_string()),
+        )
+        .expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_magpieline-gateway"));
-        command.args([role, "--log", "warn", "--settings"]).arg(&file);
+        command
+            .args([role, "--log", "warn", "--settings"])
+            .arg(&file);
         let started = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn();
         Process(started.expect("the program starts"), folder)
     }
@@ -44,8 +54,9 @@
     let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(PATIENCE)).ok()?;
     let length = body.len();
-    let text =
-        format!("{head} HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}");
+    let text = format!(
+        "{head} HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
+    );
     stream.write_all(text.as_bytes()).ok()?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).ok()?;
@@ -61,7 +72,10 @@
 impl Link {
     fn over(stream: TcpStream) -> Link {
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
-        Link { stream, bytes: Vec::new() }
+        Link {
+            stream,
+            bytes: Vec::new(),
+        }
     }
 
     /// The next message; None at the end.
@@ -109,11 +123,33 @@
 /// What a leader tells a counter first.
 fn welcome(link: &mut Link, term: u64, edition: &str, number: u64, hello: &Hello) {
     link.say(term, Down::Services(Vec::new()));
-    link.say(term, Down::Listing(Listing { whole: true, entries: Vec::new() }));
+    link.say(
+        term,
+        Down::Listing(Listing {
+            whole: true,
+            entries: Vec::new(),
+        }),
+    );
     let bytes = delta::diff("", edition);
     let length = bytes.len() as u32;
-    link.say(term, Down::Piece(Piece { number, from: 0, length, at: 0, bytes }));
-    link.say(term, Down::Welcome { core: Vec::new(), counters: 1, asked: hello.at });
+    link.say(
+        term,
+        Down::Piece(Piece {
+            number,
+            from: 0,
+            length,
+            at: 0,
+            bytes,
+        }),
+    );
+    link.say(
+        term,
+        Down::Welcome {
+            core: Vec::new(),
+            counters: 1,
+            asked: hello.at,
+        },
+    );
 }
 
 /// Waits for a sign of life, by which all that was said before has been taken in.
@@ -149,19 +185,46 @@
 "#
     );
     let _counter = Process::start("proxy", "counter", &settings);
-    let ready = || status(format!("{net}.9:7001").parse().expect("an address"), "GET /v1/ready", "");
+    let ready = || {
+        status(
+            format!("{net}.9:7001").parse().expect("an address"),
+            "GET /v1/ready",
+            "",
+        )
+    };
     for _ in 0..10 {
         let (mut link, hello) = comes(&inner);
         assert_eq!((hello.term, hello.edition, ready()), (0, 0, Some(503)));
-        link.say(9, Down::Elsewhere { leader: None, core: Vec::new() });
+        link.say(
+            9,
+            Down::Elsewhere {
+                leader: None,
+                core: Vec::new(),
+            },
+        );
         link.ends();
     }
     // Told all but the welcome: the leader may have lost its majority meanwhile.
     let (mut link, _) = comes(&inner);
-    link.say(5, Down::Listing(Listing { whole: true, entries: Vec::new() }));
+    link.say(
+        5,
+        Down::Listing(Listing {
+            whole: true,
+            entries: Vec::new(),
+        }),
+    );
     let bytes = delta::diff("", EDITION);
     let length = bytes.len() as u32;
-    link.say(5, Down::Piece(Piece { number: 7, from: 0, length, at: 0, bytes }));
+    link.say(
+        5,
+        Down::Piece(Piece {
+            number: 7,
+            from: 0,
+            length,
+            at: 0,
+            bytes,
+        }),
+    );
     assert_eq!(link.next::<Up>(), Some(Up::Holds { edition: 7 }));
     assert_eq!(ready(), Some(503));
     drop(link);
@@ -170,14 +233,33 @@
     welcome(&mut link, 5, EDITION, 7, &hello);
     assert_eq!((reports(&mut link), ready()), (7, Some(200)));
     // A word of a lower term ends the link; so does a whole welcome in one.
-    link.say(4, Down::Beat { counters: 1, asked: hello.at, edition: 7 });
+    link.say(
+        4,
+        Down::Beat {
+            counters: 1,
+            asked: hello.at,
+            edition: 7,
+        },
+    );
     link.ends();
     let (mut link, hello) = comes(&inner);
-    welcome(&mut link, 4, &EDITION.replace("\"edition\":7", "\"edition\":9"), 9, &hello);
+    welcome(
+        &mut link,
+        4,
+        &EDITION.replace("\"edition\":7", "\"edition\":9"),
+        9,
+        &hello,
+    );
     link.ends();
     let (mut link, hello) = comes(&inner);
     assert_eq!((hello.term, hello.edition, ready()), (5, 7, Some(200)));
-    welcome(&mut link, 6, &EDITION.replace("\"edition\":7", "\"edition\":8"), 8, &hello);
+    welcome(
+        &mut link,
+        6,
+        &EDITION.replace("\"edition\":7", "\"edition\":8"),
+        8,
+        &hello,
+    );
     assert_eq!(reports(&mut link), 8);
 }
 
@@ -207,12 +289,17 @@
         Process::start("controller", &format!("sorting-{i}"), &settings)
     };
     let mut machines: Vec<Option<Process>> = (1..=3).map(|i| Some(start(i))).collect();
-    let control = |i: usize| -> SocketAddr { format!("{net}.{}:7080", i + 1).parse().expect("an address") };
-    let call = |i, call: &str, body: &str| status(control(i), &format!("POST /v1/rpc?call={call}"), body);
+    let control =
+        |i: usize| -> SocketAddr { format!("{net}.{}:7080", i + 1).parse().expect("an address") };
+    let call =
+        |i, call: &str, body: &str| status(control(i), &format!("POST /v1/rpc?call={call}"), body);
     let taken = |i: &usize| call(*i, "config.replace", EDITION) == Some(200);
     let until = Instant::now() + PATIENCE;
-    let leader =
-        (0..3).cycle().find(|i| taken(i) || Instant::now() > until).filter(taken).expect("one leads");
+    let leader = (0..3)
+        .cycle()
+        .find(|i| taken(i) || Instant::now() > until)
+        .filter(taken)
+        .expect("one leads");
     machines
         .iter_mut()
         .enumerate()
@@ -222,9 +309,17 @@
     for _ in 0..3 {
         let next = EDITION.replace("\"edition\":7", "\"edition\":9");
         assert_eq!(call(leader, "config.replace", &next), Some(503));
-        assert_eq!(call(leader, "config.replace", EDITION), Some(503), "not even what it holds");
         assert_eq!(
-            call(leader, "config.replace", &EDITION.replace("\"edition\":7", "\"edition\":3")),
+            call(leader, "config.replace", EDITION),
+            Some(503),
+            "not even what it holds"
+        );
+        assert_eq!(
+            call(
+                leader,
+                "config.replace",
+                &EDITION.replace("\"edition\":7", "\"edition\":3")
+            ),
             Some(503)
         );
         assert_eq!(call(leader, "config.read", ""), Some(503));
@@ -233,13 +328,25 @@
         assert_eq!(call(leader, "editions.begin", order), Some(503));
         let inner = format!("{net}.{}:7720", leader + 1);
         let mut link = Link::over(TcpStream::connect(inner).expect("it listens"));
-        link.stream.write_all(&frame(&Opening::Counter)).expect("taken");
-        let hello = Hello { node: "counter-1".into(), zone: "a".into(), life: 5, ..Hello::default() };
-        link.stream.write_all(&frame(&Up::Hello(hello))).expect("taken");
+        link.stream
+            .write_all(&frame(&Opening::Counter))
+            .expect("taken");
+        let hello = Hello {
+            node: "counter-1".into(),
+            zone: "a".into(),
+            life: 5,
+            ..Hello::default()
+        };
+        link.stream
+            .write_all(&frame(&Up::Hello(hello)))
+            .expect("taken");
         let mut words = Vec::new();
         while let Some(told) = link.next::<Fenced<Down>>() {
             words.push(told.word);
         }
-        assert!(matches!(&words[..], [Down::Elsewhere { leader: None, .. }]), "{words:?}");
+        assert!(
+            matches!(&words[..], [Down::Elsewhere { leader: None, .. }]),
+            "{words:?}"
+        );
     }
 }
--- a/crates/gateway/tests/golden_frames.rs
+++ b/crates/gateway/tests/golden_frames.rs
@@ -2,8 +2,8 @@
 //! name, then the bytes of its frame in hexadecimal.
 
 use magpieline_control_plane::messages::{
-    frame, unframe, Down, Evidence, Fenced, Hello, Listing, Opening, Piece, Report, Spot, Stage, State,
-    Totals, Up, Vote,
+    frame, unframe, Down, Evidence, Fenced, Hello, Listing, Opening, Piece, Report, Spot, Stage,
+    State, Totals, Up, Vote,
 };
 use magpieline_control_plane::state_machine::{Phase, Rollout, Standing};
 use magpieline_raft::{Entry, Envelope, Members, Message, Payload, Seat};
@@ -19,7 +19,10 @@
 }
 
 fn seat(last: u8, life: u64) -> Seat {
-    Seat { address: address(last), life }
+    Seat {
+        address: address(last),
+        life,
+    }
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -36,12 +39,18 @@
     lines: &mut Vec<String>,
 ) {
     let bytes = frame(&message);
-    let kept = FRAMES.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
+    let kept = FRAMES
+        .lines()
+        .find_map(|line| line.strip_prefix(&format!("{name} ")));
     let ours = hex(&bytes);
     if std::env::var_os("WRITE_GOLDEN").is_none() {
         assert_eq!(kept, Some(&*ours), "{name}");
     }
-    assert_eq!(unframe(&mut bytes.clone()).expect("readable"), Some(message), "{name}");
+    assert_eq!(
+        unframe(&mut bytes.clone()).expect("readable"),
+        Some(message),
+        "{name}"
+    );
     lines.push(format!("{name} {ours}"));
 }
 
@@ -50,18 +59,39 @@
 }
 
 fn standing() -> Standing {
-    let rollout = Rollout { to: "v2".into(), within: 12_000_000, phase: Phase::Moving, order: 17 };
-    Standing { version: Some("v1".into()), rollout: Some(rollout), barred: vec!["v0".into()] }
+    let rollout = Rollout {
+        to: "v2".into(),
+        within: 12_000_000,
+        phase: Phase::Moving,
+        order: 17,
+    };
+    Standing {
+        version: Some("v1".into()),
+        rollout: Some(rollout),
+        barred: vec!["v0".into()],
+    }
 }
 
 fn evidence() -> Evidence {
-    let totals = Totals { pulls: 1, in_time: 2, bad: 3, outcomes: 4, spent_ms: 5, served: 6 };
+    let totals = Totals {
+        pulls: 1,
+        in_time: 2,
+        bad: 3,
+        outcomes: 4,
+        spent_ms: 5,
+        served: 6,
+    };
     Evidence {
         service: "calendar".into(),
         order: 17,
         vote: Vote::On,
         totals: vec![(7, [totals, Totals::default()])],
-        spots: vec![Spot { appliance: 1, outcomes: 2, bad: 3, late: 4 }],
+        spots: vec![Spot {
+            appliance: 1,
+            outcomes: 2,
+            bad: 3,
+            late: 4,
+        }],
         taken: 8,
         under_way: 9,
         age: 10,
@@ -79,36 +109,116 @@
         state: State::Closing,
         cold: 1_500_000,
     };
-    Listing { whole: true, entries: vec![("s-1".into(), Some(entry)), ("s-2".into(), None)] }
+    Listing {
+        whole: true,
+        entries: vec![("s-1".into(), Some(entry)), ("s-2".into(), None)],
+    }
 }
 
 fn raft_messages() -> Vec<(&'static str, Message)> {
-    let members = Members { voters: vec![seat(16, 0), seat(17, 5)] };
+    let members = Members {
+        voters: vec![seat(16, 0), seat(17, 5)],
+    };
     let bytes = b"command".to_vec();
     let payloads = [
         Payload::Noop,
-        Payload::Command { more: true, bytes: bytes.clone() },
+        Payload::Command {
+            more: true,
+            bytes: bytes.clone(),
+        },
         Payload::Members(members.clone()),
         Payload::JointEnd,
     ];
-    let entries = payloads.into_iter().zip(9..).map(|(payload, index)| Entry { index, term: 3, payload });
+    let entries = payloads.into_iter().zip(9..).map(|(payload, index)| Entry {
+        index,
+        term: 3,
+        payload,
+    });
     vec![
-        ("pre-vote", Message::PreVote { last: 9, last_term: 3 }),
-        ("pre-vote-reply", Message::PreVoteReply { next_term: 4, granted: true }),
-        ("pre-vote-if-all", Message::PreVoteIfAll { next_term: 4, start: 77 }),
-        ("vote", Message::Vote { last: 9, last_term: 3, handed_over: true, restarted: Some(77) }),
+        (
+            "pre-vote",
+            Message::PreVote {
+                last: 9,
+                last_term: 3,
+            },
+        ),
+        (
+            "pre-vote-reply",
+            Message::PreVoteReply {
+                next_term: 4,
+                granted: true,
+            },
+        ),
+        (
+            "pre-vote-if-all",
+            Message::PreVoteIfAll {
+                next_term: 4,
+                start: 77,
+            },
+        ),
+        (
+            "vote",
+            Message::Vote {
+                last: 9,
+                last_term: 3,
+                handed_over: true,
+                restarted: Some(77),
+            },
+        ),
         ("vote-reply", Message::VoteReply { granted: true }),
         (
             "append",
-            Message::Append { round: 5, prev: 8, prev_term: 2, commit: 7, entries: entries.collect() },
+            Message::Append {
+                round: 5,
+                prev: 8,
+                prev_term: 2,
+                commit: 7,
+                entries: entries.collect(),
+            },
+        ),
+        (
+            "append-reply",
+            Message::AppendReply {
+                round: 5,
+                matched: 8,
+                missing: Some(6),
+            },
+        ),
+        (
+            "fill",
+            Message::Fill {
+                index: 9,
+                snapshot_term: 3,
+                members,
+                total: 700,
+                offset: 300,
+                bytes,
+            },
+        ),
+        (
+            "fill-reply",
+            Message::FillReply {
+                index: 9,
+                have: 307,
+                gap: true,
+            },
         ),
-        ("append-reply", Message::AppendReply { round: 5, matched: 8, missing: Some(6) }),
-        ("fill", Message::Fill { index: 9, snapshot_term: 3, members, total: 700, offset: 300, bytes }),
-        ("fill-reply", Message::FillReply { index: 9, have: 307, gap: true }),
         ("hand-over", Message::HandOver),
         ("ask", Message::Ask { last: 9 }),
-        ("point", Message::Point { leader: Some(address(16)), members: vec![address(16), address(17)] }),
-        ("leave", Message::Leave { token: 99, waiting: Some(vec![seat(18, 6)]) }),
+        (
+            "point",
+            Message::Point {
+                leader: Some(address(16)),
+                members: vec![address(16), address(17)],
+            },
+        ),
+        (
+            "leave",
+            Message::Leave {
+                token: 99,
+                waiting: Some(vec![seat(18, 6)]),
+            },
+        ),
         ("left", Message::Left { token: 99 }),
     ]
 }
@@ -121,27 +231,92 @@
     check("opening-counter", Opening::Counter, all);
     check("opening-sorting", Opening::Sorting(address(16)), all);
     check("opening-view", Opening::View, all);
-    let hello = Hello { node: "c-1".into(), zone: "a".into(), life: 4, edition: 3, term: 2, at: 1_000 };
+    let hello = Hello {
+        node: "c-1".into(),
+        zone: "a".into(),
+        life: 4,
+        edition: 3,
+        term: 2,
+        at: 1_000,
+    };
     check("up-hello", Up::Hello(hello), all);
     check(
         "up-report",
-        Up::Report(Report { edition: 3, evidence: vec![evidence()], term: 2, at: 1_000 }),
+        Up::Report(Report {
+            edition: 3,
+            evidence: vec![evidence()],
+            term: 2,
+            at: 1_000,
+        }),
+        all,
+    );
+    check(
+        "up-got",
+        Up::Got {
+            number: 3,
+            upto: 8192,
+        },
         all,
     );
-    check("up-got", Up::Got { number: 3, upto: 8192 }, all);
     check("up-holds", Up::Holds { edition: 3 }, all);
     let core = vec![address(16), address(17)];
-    check("down-elsewhere", down(Down::Elsewhere { leader: Some(address(17)), core: core.clone() }), all);
-    check("down-welcome", down(Down::Welcome { core, counters: 9, asked: 1_000 }), all);
-    let piece = Piece { number: 4, from: 3, length: 9000, at: 8192, bytes: b"piece".to_vec() };
+    check(
+        "down-elsewhere",
+        down(Down::Elsewhere {
+            leader: Some(address(17)),
+            core: core.clone(),
+        }),
+        all,
+    );
+    check(
+        "down-welcome",
+        down(Down::Welcome {
+            core,
+            counters: 9,
+            asked: 1_000,
+        }),
+        all,
+    );
+    let piece = Piece {
+        number: 4,
+        from: 3,
+        length: 9000,
+        at: 8192,
+        bytes: b"piece".to_vec(),
+    };
     check("down-piece", down(Down::Piece(piece)), all);
-    check("down-services", down(Down::Services(vec![("calendar".into(), standing())])), all);
-    let stage = Stage { share: 0.05, guarded: true, focus: 2 };
-    check("down-stage", down(Down::Stage("calendar".into(), 17, stage)), all);
+    check(
+        "down-services",
+        down(Down::Services(vec![("calendar".into(), standing())])),
+        all,
+    );
+    let stage = Stage {
+        share: 0.05,
+        guarded: true,
+        focus: 2,
+    };
+    check(
+        "down-stage",
+        down(Down::Stage("calendar".into(), 17, stage)),
+        all,
+    );
     check("down-listing", down(Down::Listing(listing())), all);
-    check("down-beat", down(Down::Beat { counters: 9, asked: 1_000, edition: 4 }), all);
+    check(
+        "down-beat",
+        down(Down::Beat {
+            counters: 9,
+            asked: 1_000,
+            edition: 4,
+        }),
+        all,
+    );
     for (name, message) in raft_messages() {
-        let envelope = Envelope { from: seat(16, 0), to: seat(17, 5), term: 3, message };
+        let envelope = Envelope {
+            from: seat(16, 0),
+            to: seat(17, 5),
+            term: 3,
+            message,
+        };
         check(&format!("raft-{name}"), envelope, all);
     }
     if let Some(path) = std::env::var_os("WRITE_GOLDEN") {
--- a/crates/gateway/tests/kept_store.rs
+++ b/crates/gateway/tests/kept_store.rs
@@ -17,8 +17,10 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path =
-            std::env::temp_dir().join(format!("magpieline-gateway-kept-{name}-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "magpieline-gateway-kept-{name}-{}",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
@@ -31,25 +33,60 @@
 }
 
 fn seat(last: u8, life: u64) -> Seat {
-    Seat { address: std::net::SocketAddrV4::new([10, 1, 0, last].into(), 7720), life }
+    Seat {
+        address: std::net::SocketAddrV4::new([10, 1, 0, last].into(), 7720),
+        life,
+    }
 }
 
 fn text(number: u64) -> Arc<str> {
-    format!("{{\"edition\":{number},\"wickets\":[{}]}}", "\"route\",".repeat(20)).into()
+    format!(
+        "{{\"edition\":{number},\"wickets\":[{}]}}",
+        "\"route\",".repeat(20)
+    )
+    .into()
 }
 
 /// All commands that the release knew, in the order in which they went into the log.
 fn commands() -> Vec<Command> {
     let services = ["calendar", "orders"];
-    let mut list = vec![Command::Replace(Kept { number: 3, text: text(3) })];
-    list.extend(services.map(|s| Command::Stands { service: s.into(), version: "v1".into() }));
-    list.push(Command::Begin { service: "calendar".into(), to: "v2".into(), within: 12_000_000 });
-    list.push(Command::Advance { service: "calendar".into(), order: 6, phase: Phase::Returned });
-    list.push(Command::Replace(Kept { number: 8, text: text(8) }));
+    let mut list = vec![Command::Replace(Kept {
+        number: 3,
+        text: text(3),
+    })];
+    list.extend(services.map(|s| Command::Stands {
+        service: s.into(),
+        version: "v1".into(),
+    }));
+    list.push(Command::Begin {
+        service: "calendar".into(),
+        to: "v2".into(),
+        within: 12_000_000,
+    });
+    list.push(Command::Advance {
+        service: "calendar".into(),
+        order: 6,
+        phase: Phase::Returned,
+    });
+    list.push(Command::Replace(Kept {
+        number: 8,
+        text: text(8),
+    }));
     // Behind the snapshot:
-    list.push(Command::Begin { service: "orders".into(), to: "v2".into(), within: 9_000_000 });
-    list.push(Command::Advance { service: "orders".into(), order: 10, phase: Phase::Moving });
-    list.push(Command::Replace(Kept { number: 9, text: text(9) }));
+    list.push(Command::Begin {
+        service: "orders".into(),
+        to: "v2".into(),
+        within: 9_000_000,
+    });
+    list.push(Command::Advance {
+        service: "orders".into(),
+        order: 10,
+        phase: Phase::Moving,
+    });
+    list.push(Command::Replace(Kept {
+        number: 9,
+        text: text(9),
+    }));
     list
 }
 
@@ -76,11 +113,18 @@
 
 /// What the store holds. Commands are compared as read, as their bytes belong to their release.
 fn hard() -> Hard {
-    Hard { life: 77, term: 4, vote: Some(seat(17, 5)), commit: 11 }
+    Hard {
+        life: 77,
+        term: 4,
+        vote: Some(seat(17, 5)),
+        commit: 11,
+    }
 }
 
 fn members() -> Members {
-    Members { voters: vec![seat(16, 0), seat(17, 5), seat(18, 0)] }
+    Members {
+        voters: vec![seat(16, 0), seat(17, 5), seat(18, 0)],
+    }
 }
 
 /// As the release before wrote it: this wrote `stores/format-1.packed`, and writes the next one when a form changes.
@@ -89,8 +133,16 @@
 fn write_one() {
     let folder = Folder::new("write");
     let covered = FIRST + COVERED as u64 - 1;
-    let snapshot = Snapshot { index: covered, term: 3, members: members(), state: state(COVERED).pack() };
-    let command = |more, bytes: &[u8]| Payload::Command { more, bytes: bytes.to_vec() };
+    let snapshot = Snapshot {
+        index: covered,
+        term: 3,
+        members: members(),
+        state: state(COVERED).pack(),
+    };
+    let command = |more, bytes: &[u8]| Payload::Command {
+        more,
+        bytes: bytes.to_vec(),
+    };
     let later: Vec<Vec<u8>> = commands()[COVERED..].iter().map(Command::pack).collect();
     let (head, rest) = later[2].split_at(100);
     let rows = [
@@ -105,11 +157,20 @@
     let entries: Vec<Entry> = rows
         .into_iter()
         .zip(covered..)
-        .map(|((term, payload), index)| Entry { index, term, payload })
+        .map(|((term, payload), index)| Entry {
+            index,
+            term,
+            payload,
+        })
         .collect();
     let mut granary = Granary::open(&folder.0).expect("a store");
-    let batch =
-        Batch { hard: hard(), snapshot: Some(Arc::new(snapshot)), drop_to: 0, cut_from: covered, entries };
+    let batch = Batch {
+        hard: hard(),
+        snapshot: Some(Arc::new(snapshot)),
+        drop_to: 0,
+        cut_from: covered,
+        entries,
+    };
     granary.write(&batch).expect("written");
     drop(granary);
     let bytes = std::fs::read(folder.0.join("store.redb")).expect("there");
@@ -165,7 +226,10 @@
 fn check(stored: &Stored) {
     assert_eq!(stored.hard, Some(hard()));
     let snapshot = stored.snapshot.as_ref().expect("one");
-    assert_eq!((snapshot.index, snapshot.term, &snapshot.members), (8, 3, &members()));
+    assert_eq!(
+        (snapshot.index, snapshot.term, &snapshot.members),
+        (8, 3, &members())
+    );
     let mut records = Records::unpack(&snapshot.state).expect("read");
     assert_eq!(records, as_the_first_release_knew(state(COVERED)));
     assert!(matches!(&stored.entries[1].payload, Payload::Members(list) if *list == members()));
@@ -175,19 +239,31 @@
         if let Payload::Command { more, bytes } = &entry.payload {
             pieces.extend_from_slice(bytes);
             if !more {
-                read.push((entry.index, Command::unpack(&std::mem::take(&mut pieces)).expect("read")));
+                read.push((
+                    entry.index,
+                    Command::unpack(&std::mem::take(&mut pieces)).expect("read"),
+                ));
             }
         }
     }
     let commands = commands();
-    assert_eq!(read.iter().map(|(index, _)| *index).collect::<Vec<_>>(), [8, 10, 11, 14]);
-    assert!(read.iter().map(|(_, command)| command).eq(&commands[COVERED - 1..]));
+    assert_eq!(
+        read.iter().map(|(index, _)| *index).collect::<Vec<_>>(),
+        [8, 10, 11, 14]
+    );
+    assert!(read
+        .iter()
+        .map(|(_, command)| command)
+        .eq(&commands[COVERED - 1..]));
     for (index, command) in &read[1..] {
         records.apply(*index, command);
     }
     assert_eq!(records.edition.map(|kept| kept.text), Some(text(9)));
     let standing = &records.services["orders"];
-    assert_eq!(standing.rollout.as_ref().map(|r| (r.order, r.phase)), Some((10, Phase::Moving)));
+    assert_eq!(
+        standing.rollout.as_ref().map(|r| (r.order, r.phase)),
+        Some((10, Phase::Moving))
+    );
 }
 
 /// Guards against a release that can't read, or misreads, what the one before it left on disk.
@@ -200,14 +276,33 @@
     let stored = granary.load().expect("readable");
     check(&stored);
     // What this release adds goes beside it, and all is read again.
-    let entry = Entry { index: 15, term: 5, payload: Payload::Noop };
-    let hard = Hard { term: 5, vote: None, ..hard() };
-    let batch = Batch { hard, snapshot: None, drop_to: 0, cut_from: 15, entries: vec![entry.clone()] };
+    let entry = Entry {
+        index: 15,
+        term: 5,
+        payload: Payload::Noop,
+    };
+    let hard = Hard {
+        term: 5,
+        vote: None,
+        ..hard()
+    };
+    let batch = Batch {
+        hard,
+        snapshot: None,
+        drop_to: 0,
+        cut_from: 15,
+        entries: vec![entry.clone()],
+    };
     granary.write(&batch).expect("written");
     drop(granary);
-    let again = Granary::open(&folder.0).and_then(|mut granary| granary.load()).expect("readable");
+    let again = Granary::open(&folder.0)
+        .and_then(|mut granary| granary.load())
+        .expect("readable");
     assert_eq!(again.hard, Some(hard));
-    assert_eq!((&again.entries[..7], &again.entries[7]), (&stored.entries[..], &entry));
+    assert_eq!(
+        (&again.entries[..7], &again.entries[7]),
+        (&stored.entries[..], &entry)
+    );
 }
 
 /// Commands of the second form, of every kind, in the order in which they went into the log from [`FIRST`] on.
@@ -235,13 +330,34 @@
 }
 
 fn entries_2(last: u64) -> Vec<Entry> {
-    let command = Payload::Command { more: false, bytes: commands_2()[0].pack() };
-    let payloads = [Payload::Noop, Payload::Members(members()), Payload::JointEnd, command];
-    payloads.into_iter().zip(last + 1..).map(|(payload, index)| Entry { index, term: 5, payload }).collect()
+    let command = Payload::Command {
+        more: false,
+        bytes: commands_2()[0].pack(),
+    };
+    let payloads = [
+        Payload::Noop,
+        Payload::Members(members()),
+        Payload::JointEnd,
+        command,
+    ];
+    payloads
+        .into_iter()
+        .zip(last + 1..)
+        .map(|(payload, index)| Entry {
+            index,
+            term: 5,
+            payload,
+        })
+        .collect()
 }
 
 fn hard_2(last: u64) -> Hard {
-    Hard { life: 78, term: 5, vote: None, commit: last + 3 }
+    Hard {
+        life: 78,
+        term: 5,
+        vote: None,
+        commit: last + 3,
+    }
 }
 
 /// As the release of the second form wrote it: this wrote `stores/format-2.packed`.
@@ -250,10 +366,21 @@
 fn write_the_second_form() {
     let folder = Folder::new("write-2");
     let last = FIRST + commands_2().len() as u64 - 1;
-    let snapshot = Snapshot { index: last, term: 4, members: members(), state: state_2().pack() };
+    let snapshot = Snapshot {
+        index: last,
+        term: 4,
+        members: members(),
+        state: state_2().pack(),
+    };
     let mut granary = Granary::open(&folder.0).expect("a store");
     let (snapshot, entries) = (Some(Arc::new(snapshot)), entries_2(last));
-    let batch = Batch { hard: hard_2(last), snapshot, drop_to: 0, cut_from: last, entries };
+    let batch = Batch {
+        hard: hard_2(last),
+        snapshot,
+        drop_to: 0,
+        cut_from: last,
+        entries,
+    };
     granary.write(&batch).expect("written");
     drop(granary);
     let bytes = std::fs::read(folder.0.join("store.redb")).expect("there");
@@ -267,11 +394,16 @@
 fn a_store_of_the_second_form_is_read() {
     let folder = Folder::new("read-2");
     put(&folder, FORMAT_2);
-    let stored = Granary::open(&folder.0).and_then(|mut granary| granary.load()).expect("readable");
+    let stored = Granary::open(&folder.0)
+        .and_then(|mut granary| granary.load())
+        .expect("readable");
     let last = FIRST + commands_2().len() as u64 - 1;
     assert_eq!(stored.hard, Some(hard_2(last)));
     let snapshot = stored.snapshot.as_ref().expect("one");
-    assert_eq!((snapshot.index, snapshot.term, &snapshot.members), (last, 4, &members()));
+    assert_eq!(
+        (snapshot.index, snapshot.term, &snapshot.members),
+        (last, 4, &members())
+    );
     assert_eq!(Records::unpack(&snapshot.state), Ok(state_2()));
     assert_eq!(snapshot.state, state_2().pack(), "written as before");
     assert_eq!(stored.entries, entries_2(last));
--- a/crates/gateway/tests/operator_api.rs
+++ b/crates/gateway/tests/operator_api.rs
@@ -81,7 +81,11 @@
         );
         std::fs::write(&settings, text).expect("written");
         let control = format!("{net}.{i}:7080").parse().expect("an address");
-        let mut machine = Machine { control, settings, process: None };
+        let mut machine = Machine {
+            control,
+            settings,
+            process: None,
+        };
         machine.start();
         machine
     });
@@ -107,7 +111,9 @@
         if status != 307 {
             return Some((status, body.to_owned()));
         }
-        let location = head.lines().find_map(|l| l.strip_prefix("location: http://"))?;
+        let location = head
+            .lines()
+            .find_map(|l| l.strip_prefix("location: http://"))?;
         at = location.split('/').next()?.parse().ok()?;
     }
     None
@@ -121,7 +127,10 @@
         for machine in order.cycle() {
             match once(self.machines[machine].control, call, body) {
                 Some((status, text)) if status < 500 && status != 404 => return (status, text),
-                other => assert!(Instant::now() < until, "no clear answer to {call}, the last: {other:?}"),
+                other => assert!(
+                    Instant::now() < until,
+                    "no clear answer to {call}, the last: {other:?}"
+                ),
             }
         }
         unreachable!("a cycle has no end")
@@ -164,26 +173,50 @@
                 })
             });
             let calls: Vec<_> = calls.collect();
-            calls.into_iter().map(|call| call.join().expect("an answer")).collect()
+            calls
+                .into_iter()
+                .map(|call| call.join().expect("an answer"))
+                .collect()
         });
-        let winner = statuses.iter().position(|s| *s == 200).expect("one is confirmed");
+        let winner = statuses
+            .iter()
+            .position(|s| *s == 200)
+            .expect("one is confirmed");
         assert_eq!(statuses[1 - winner], 409, "round {round}: {statuses:?}");
-        assert_eq!(core.call(2, "config.read", "").1, document(number, both[winner]));
+        assert_eq!(
+            core.call(2, "config.read", "").1,
+            document(number, both[winner])
+        );
         confirmed.push((number, winner));
     }
     let again = |core: &Core| {
         for machine in 0..3 {
             for &(number, winner) in [&confirmed[0], &confirmed[9]] {
-                assert_eq!(core.replace(machine, &document(number, both[winner])), 200, "{number} again");
-                let (status, text) =
-                    core.call(machine, "config.replace", &document(number, both[1 - winner]));
+                assert_eq!(
+                    core.replace(machine, &document(number, both[winner])),
+                    200,
+                    "{number} again"
+                );
+                let (status, text) = core.call(
+                    machine,
+                    "config.replace",
+                    &document(number, both[1 - winner]),
+                );
                 assert_eq!(status, 409, "{number} is taken");
-                assert!(["place", "found", "expected"].iter().all(|word| text.contains(word)), "{text}");
+                assert!(
+                    ["place", "found", "expected"]
+                        .iter()
+                        .all(|word| text.contains(word)),
+                    "{text}"
+                );
             }
         }
         // Between two numbers, never sent before: overtaken, acknowledged, without effect.
         assert_eq!(core.replace(0, &document(29, "a")), 200);
-        assert_eq!(core.call(0, "config.read", "").1, document(30, both[confirmed[9].1]));
+        assert_eq!(
+            core.call(0, "config.read", "").1,
+            document(30, both[confirmed[9].1])
+        );
     };
     again(&core);
     for machine in 0..3 {
@@ -194,7 +227,11 @@
     core.machines.iter_mut().for_each(Machine::kill);
     core.machines.iter_mut().for_each(Machine::start);
     again(&core);
-    assert_eq!(core.replace(1, &document(29, "b")), 409, "overtaken, and taken all the same");
+    assert_eq!(
+        core.replace(1, &document(29, "b")),
+        409,
+        "overtaken, and taken all the same"
+    );
 }
 
 /// Guards against an order that is refused when it comes again, and one that takes the place of another under way.
@@ -208,9 +245,15 @@
             assert_eq!(core.begin(machine, "v2").0, 200, "again");
             let (status, text) = core.begin(machine, "v3");
             assert_eq!(status, 409);
-            assert!(text.contains("a rollout to v2 within 12000ms under way"), "{text}");
+            assert!(
+                text.contains("a rollout to v2 within 12000ms under way"),
+                "{text}"
+            );
         }
-        assert_eq!(core.call(0, "editions.read&of=s", "").1, r#"{"state":"in_transit","to_edition":"v2"}"#);
+        assert_eq!(
+            core.call(0, "editions.read&of=s", "").1,
+            r#"{"state":"in_transit","to_edition":"v2"}"#
+        );
         core.machines[killed].start();
     }
 }
--- a/crates/gateway/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -8,11 +8,18 @@
 use std::sync::Arc;
 
 fn store(arguments: &[&str], dir: &Path) -> (i32, String, String) {
-    let done =
-        Process::new(env!("CARGO_BIN_EXE_magpieline-gateway")).arg("store").args(arguments).arg(dir).output();
+    let done = Process::new(env!("CARGO_BIN_EXE_magpieline-gateway"))
+        .arg("store")
+        .args(arguments)
+        .arg(dir)
+        .output();
     let done = done.expect("the program runs");
     let text = |bytes| String::from_utf8(bytes).expect("text");
-    (done.status.code().unwrap_or(-1), text(done.stdout), text(done.stderr))
+    (
+        done.status.code().unwrap_or(-1),
+        text(done.stdout),
+        text(done.stderr),
+    )
 }
 
 /// A folder of its own for each test, removed at its end.
@@ -20,8 +27,10 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path =
-            std::env::temp_dir().join(format!("magpieline-gateway-store-{name}-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "magpieline-gateway-store-{name}-{}",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
@@ -34,7 +43,10 @@
 }
 
 fn kept(number: u64) -> Command {
-    Command::Replace(Kept { number, text: format!("{{\"edition\":{number}}}").into() })
+    Command::Replace(Kept {
+        number,
+        text: format!("{{\"edition\":{number}}}").into(),
+    })
 }
 
 /// A store with a snapshot at 3, a command in two pieces, one that another leader cut off, and one that may not be in
@@ -42,16 +54,43 @@
 fn fill(dir: &Path) -> Granary {
     let mut records = Records::default();
     records.apply(2, &kept(4));
-    records.apply(3, &Command::Stands { service: "calendar".into(), version: "v1".into() });
-    let seat = Seat { address: "10.1.0.16:7720".parse().expect("an address"), life: 0 };
+    records.apply(
+        3,
+        &Command::Stands {
+            service: "calendar".into(),
+            version: "v1".into(),
+        },
+    );
+    let seat = Seat {
+        address: "10.1.0.16:7720".parse().expect("an address"),
+        life: 0,
+    };
     let members = Members { voters: vec![seat] };
-    let snapshot = Snapshot { index: 3, term: 1, members, state: records.pack() };
-    let command = |more, bytes: &[u8]| Payload::Command { more, bytes: bytes.to_vec() };
+    let snapshot = Snapshot {
+        index: 3,
+        term: 1,
+        members,
+        state: records.pack(),
+    };
+    let command = |more, bytes: &[u8]| Payload::Command {
+        more,
+        bytes: bytes.to_vec(),
+    };
     let (begin, edition) = (
-        Command::Begin { service: "calendar".into(), to: "v2".into(), within: 12_000_000 }.pack(),
+        Command::Begin {
+            service: "calendar".into(),
+            to: "v2".into(),
+            within: 12_000_000,
+        }
+        .pack(),
         kept(5).pack(),
     );
-    let moving = Command::Advance { service: "calendar".into(), order: 5, phase: Phase::Moving }.pack();
+    let moving = Command::Advance {
+        service: "calendar".into(),
+        order: 5,
+        phase: Phase::Moving,
+    }
+    .pack();
     let rows = [
         (1, command(true, &begin[..4])),
         (1, command(false, &begin[4..])),
@@ -61,11 +100,27 @@
         (2, command(false, &moving)),
     ];
     let entries = rows.into_iter().zip(4..);
-    let entries: Vec<Entry> =
-        entries.map(|((term, payload), index)| Entry { index, term, payload }).collect();
-    let hard = Hard { life: 77, term: 2, vote: Some(seat), commit: 8 };
+    let entries: Vec<Entry> = entries
+        .map(|((term, payload), index)| Entry {
+            index,
+            term,
+            payload,
+        })
+        .collect();
+    let hard = Hard {
+        life: 77,
+        term: 2,
+        vote: Some(seat),
+        commit: 8,
+    };
     let mut granary = Granary::open(dir).expect("a store");
-    let batch = Batch { hard, snapshot: Some(Arc::new(snapshot)), drop_to: 3, cut_from: 4, entries };
+    let batch = Batch {
+        hard,
+        snapshot: Some(Arc::new(snapshot)),
+        drop_to: 3,
+        cut_from: 4,
+        entries,
+    };
     granary.write(&batch).expect("written");
     granary
 }
@@ -93,15 +148,30 @@
     }
     let (_, json, _) = store(&["--json"], &folder.0);
     let shown = jzon::parse(&json).expect("JSON");
-    let phase =
-        |part: &str| shown[part]["services"]["calendar"]["rollout"]["phase"].as_str().map(str::to_owned);
+    let phase = |part: &str| {
+        shown[part]["services"]["calendar"]["rollout"]["phase"]
+            .as_str()
+            .map(str::to_owned)
+    };
     assert_eq!(
-        (phase("in_force").as_deref(), phase("with_what_follows").as_deref()),
+        (
+            phase("in_force").as_deref(),
+            phase("with_what_follows").as_deref()
+        ),
         (Some("Trial"), Some("Moving"))
     );
-    assert_eq!((shown["in_force"]["edition"].as_u64(), shown["in_use"].as_bool()), (Some(5), Some(false)));
+    assert_eq!(
+        (
+            shown["in_force"]["edition"].as_u64(),
+            shown["in_use"].as_bool()
+        ),
+        (Some(5), Some(false))
+    );
     assert_eq!(store(&["--configuration"], &folder.0).1, "{\"edition\":5}");
-    assert!(before == std::fs::read(folder.0.join("store.redb")).expect("there"), "it was written to");
+    assert!(
+        before == std::fs::read(folder.0.join("store.redb")).expect("there"),
+        "it was written to"
+    );
 }
 
 /// Guards against an operator who takes a store in use, a broken one or none at all for an empty one.
@@ -115,11 +185,21 @@
     );
     let held = fill(&folder.0);
     let (code, out, _) = store(&[], &folder.0);
-    assert!(code == 0 && out.lines().next().is_some_and(|l| l.ends_with(" bytes, in use")), "{out}");
+    assert!(
+        code == 0
+            && out
+                .lines()
+                .next()
+                .is_some_and(|l| l.ends_with(" bytes, in use")),
+        "{out}"
+    );
     drop(held);
     let file = folder.0.join("store.redb");
     let mut bytes = std::fs::read(&file).expect("there");
-    let at = bytes.windows(8).position(|w| w == b"calendar").expect("a value");
+    let at = bytes
+        .windows(8)
+        .position(|w| w == b"calendar")
+        .expect("a value");
     bytes[at] ^= 1;
     std::fs::write(&file, bytes).expect("written");
     let (code, out, err) = store(&["--json"], &folder.0);
--- a/crates/gateway/tests/store_recovery.rs
+++ b/crates/gateway/tests/store_recovery.rs
@@ -7,8 +7,16 @@
 use magpieline_raft_store::{Error, Flaw};
 
 fn send() -> Action {
-    let seat = |last| Seat { address: std::net::SocketAddrV4::new([10, 0, 0, last].into(), 7720), life: 0 };
-    Action::Send(Envelope { from: seat(1), to: seat(2), term: 3, message: Message::HandOver })
+    let seat = |last| Seat {
+        address: std::net::SocketAddrV4::new([10, 0, 0, last].into(), 7720),
+        life: 0,
+    };
+    Action::Send(Envelope {
+        from: seat(1),
+        to: seat(2),
+        term: 3,
+        message: Message::HandOver,
+    })
 }
 
 fn apply(index: u64, command: Vec<u8>) -> Action {
@@ -16,7 +24,11 @@
 }
 
 fn command() -> Vec<u8> {
-    Command::Stands { service: "calendar".into(), version: "v1".into() }.pack()
+    Command::Stands {
+        service: "calendar".into(),
+        version: "v1".into(),
+    }
+    .pack()
 }
 
 /// Guards against a machine that logs what it can't read and goes on: it may lead then, with old state. And against a
@@ -27,15 +39,40 @@
         bytes.truncate(bytes.len() - 1);
         bytes
     };
-    let readable =
-        [send(), apply(7, command()), Action::Restore { index: 9, state: Records::default().pack() }];
+    let readable = [
+        send(),
+        apply(7, command()),
+        Action::Restore {
+            index: 9,
+            state: Records::default().pack(),
+        },
+    ];
     assert_eq!(Read::all(&readable).expect("readable").len(), 2);
     let steps = [
-        (8, vec![send(), apply(7, command()), apply(8, spoilt(command())), apply(9, command())]),
-        (9, vec![send(), Action::Restore { index: 9, state: spoilt(Records::default().pack()) }]),
+        (
+            8,
+            vec![
+                send(),
+                apply(7, command()),
+                apply(8, spoilt(command())),
+                apply(9, command()),
+            ],
+        ),
+        (
+            9,
+            vec![
+                send(),
+                Action::Restore {
+                    index: 9,
+                    state: spoilt(Records::default().pack()),
+                },
+            ],
+        ),
     ];
     for (place, actions) in steps {
-        let Err(stop) = Read::all(&actions) else { panic!("{place} was passed over") };
+        let Err(stop) = Read::all(&actions) else {
+            panic!("{place} was passed over")
+        };
         assert!(
             matches!(&stop, Stop::Unreadable(index, wrong) if *index == place && !wrong.newer),
             "{stop:?}"
@@ -52,11 +89,27 @@
         bytes[0] += 2;
         bytes
     };
-    let Err(stop) = Read::all(&[apply(4, newer(command()))]) else { panic!("a newer command was read") };
+    let Err(stop) = Read::all(&[apply(4, newer(command()))]) else {
+        panic!("a newer command was read")
+    };
     assert!(matches!(&stop, Stop::Unreadable(4, wrong) if wrong.newer));
     assert_eq!(Next::after(&stop), Next::Halt);
-    assert_eq!(Next::after(&Stop::Store(Error::Newer { found: 3, expected: 2 })), Next::Halt);
-    let flaw = Flaw { place: "log", key: 4, found: "another checksum", expected: "the value's" };
-    assert_eq!(Next::after(&Stop::Store(Error::Corrupt(flaw))), Next::SetAside);
+    assert_eq!(
+        Next::after(&Stop::Store(Error::Newer {
+            found: 3,
+            expected: 2
+        })),
+        Next::Halt
+    );
+    let flaw = Flaw {
+        place: "log",
+        key: 4,
+        found: "another checksum",
+        expected: "the value's",
+    };
+    assert_eq!(
+        Next::after(&Stop::Store(Error::Corrupt(flaw))),
+        Next::SetAside
+    );
     assert_eq!(Next::after(&Stop::Over), Next::Leave);
 }
--- a/crates/http1/fuzz/checks.rs
+++ b/crates/http1/fuzz/checks.rs
@@ -7,13 +7,20 @@
 use magpieline_http1::framing::response_framing::{Echo, Fault};
 use magpieline_http1::framing::Wrong;
 
-const BOUNDS: Bounds = Bounds { head_bytes: 600, head: 3_000, idle: 15_000, rest: 15_000 };
+const BOUNDS: Bounds = Bounds {
+    head_bytes: 600,
+    head: 3_000,
+    idle: 15_000,
+    rest: 15_000,
+};
 
 /// Cuts bytes into pieces: 0 not at all, 1 into single ones.
 fn pieces(cut: u8, mut bytes: &[u8]) -> Vec<&[u8]> {
     let (mut pieces, mut state) = (Vec::new(), u64::from(cut) + 1);
     while !bytes.is_empty() {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state = state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         let len = match cut {
             0 => bytes.len(),
             1 => 1,
@@ -68,7 +75,10 @@
                 match requests.last_mut().filter(|(n, _)| *n == number) {
                     Some((_, all)) => all.extend(bytes),
                     None => {
-                        assert!(requests.last().is_none_or(|(n, _)| *n + 1 == number), "in their order");
+                        assert!(
+                            requests.last().is_none_or(|(n, _)| *n + 1 == number),
+                            "in their order"
+                        );
                         requests.push((number, bytes));
                     }
                 }
@@ -80,24 +90,36 @@
             }
         }
     }
-    let wrong = if let Stand::Answer(wrong) = door.stand() { Some(wrong) } else { door.fault() };
+    let wrong = if let Stand::Answer(wrong) = door.stand() {
+        Some(wrong)
+    } else {
+        door.fault()
+    };
     if door.fault().is_some() {
         requests.pop(); // how much of it was shown depends on the pieces
     }
-    (requests.into_iter().map(|(_, bytes)| bytes).collect(), wrong)
+    (
+        requests.into_iter().map(|(_, bytes)| bytes).collect(),
+        wrong,
+    )
 }
 
 /// A client's stream: each request is shown whole, by itself and in its order; nothing of one that is unsound; the same
 /// however the stream is cut.
 pub fn doorway(input: &[u8]) {
-    let Some((cut, stream)) = input.split_first() else { return };
+    let Some((cut, stream)) = input.split_first() else {
+        return;
+    };
     let (requests, wrong) = shown(0, stream);
     let unfinished = requests.last().is_some_and(|last| !whole(last));
     for request in &requests[..requests.len() - usize::from(unfinished)] {
         assert!(whole(request), "only the last may be unfinished");
     }
     for cut in [1, *cut] {
-        assert_eq!((&requests, wrong), (&shown(cut, stream).0, shown(cut, stream).1));
+        assert_eq!(
+            (&requests, wrong),
+            (&shown(cut, stream).0, shown(cut, stream).1)
+        );
     }
 }
 
@@ -121,7 +143,9 @@
 /// nothing came behind it; the same however the stream is cut. Nothing at all is shown of what was not asked for, and
 /// nothing is written once it was called off.
 pub fn echo(input: &[u8]) {
-    let Some((cut, stream)) = input.split_first() else { return };
+    let Some((cut, stream)) = input.split_first() else {
+        return;
+    };
     for head in [false, true] {
         let (shown, fault, usable) = heard(0, stream, head);
         for cut in [1, *cut] {
@@ -129,14 +153,26 @@
             assert_eq!((fault, usable), (wrong, useful));
             // Of a body that can't be read on, more or less is shown; it never becomes whole.
             let spoilt = matches!(fault, Some(Fault::Unreadable(_)));
-            assert!(shown == other || (spoilt && (shown.starts_with(&other) || other.starts_with(&shown))));
+            assert!(
+                shown == other
+                    || (spoilt && (shown.starts_with(&other) || other.starts_with(&shown)))
+            );
         }
         if !shown.is_empty() {
-            let end = shown.windows(4).position(|w| w == b"\r\n\r\n").expect("a head is shown whole") + 4;
+            let end = shown
+                .windows(4)
+                .position(|w| w == b"\r\n\r\n")
+                .expect("a head is shown whole")
+                + 4;
             let text = String::from_utf8_lossy(&shown[..end]).to_lowercase();
-            let ids = text.split("\r\n").filter_map(|line| line.strip_prefix("try-id:"));
+            let ids = text
+                .split("\r\n")
+                .filter_map(|line| line.strip_prefix("try-id:"));
             assert_eq!(ids.map(str::trim).collect::<Vec<_>>(), ["t1"]);
-            assert!(text.starts_with("http/1.") && !text[9..].starts_with('1'), "no interim answer");
+            assert!(
+                text.starts_with("http/1.") && !text[9..].starts_with('1'),
+                "no interim answer"
+            );
         }
         assert!(!usable || !shown.is_empty(), "it owes an answer");
     }
--- a/crates/http1/src/attempt_outcome.rs
+++ b/crates/http1/src/attempt_outcome.rs
@@ -58,7 +58,14 @@
 impl Journey {
     /// `tries`: appliances that it may be sent to at most.
     pub fn new(repeatable: bool, tries: u32, due: Micros) -> Journey {
-        Journey { repeatable, left: tries.max(1), flying: 0, may_have_run: false, doubles: repeatable, due }
+        Journey {
+            repeatable,
+            left: tries.max(1),
+            flying: 0,
+            may_have_run: false,
+            doubles: repeatable,
+            due,
+        }
     }
 
     pub fn due(&self) -> Micros {
@@ -113,9 +120,12 @@
                 self.may_have_run = true
             }
         }
-        let again = another && self.left > 0 && now < self.due && (self.repeatable || self.untouched());
+        let again =
+            another && self.left > 0 && now < self.due && (self.repeatable || self.untouched());
         match ending {
-            Ending::Answered { status } if !promises(status) && (status < 500 || !self.repeatable) => {
+            Ending::Answered { status }
+                if !promises(status) && (status < 500 || !self.repeatable) =>
+            {
                 Next::Pass
             }
             Ending::Answered { .. } if again && self.flying == 0 => Next::Again,
@@ -173,7 +183,11 @@
     #[case(Ending::Silent, Next::Fail)]
     fn what_may_run_once(#[case] ending: Ending, #[case] next: Next) {
         assert_eq!(sent(false, 2).ended(10, ending, true), next);
-        let without = if next == Next::Again { Next::Refuse } else { next };
+        let without = if next == Next::Again {
+            Next::Refuse
+        } else {
+            next
+        };
         assert_eq!(sent(false, 2).ended(10, ending, false), without);
     }
 
@@ -202,15 +216,27 @@
         journey.sent();
         assert!(!journey.may_double());
         assert_eq!(journey.ended(10, Ending::Broken, true), Next::Wait);
-        assert_eq!(journey.ended(20, Ending::Answered { status: 200 }, true), Next::Pass);
+        assert_eq!(
+            journey.ended(20, Ending::Answered { status: 200 }, true),
+            Next::Pass
+        );
     }
 
     /// Guards against refusals after the time is over that hide that something may have run.
     #[test]
     fn a_silent_appliance_is_no_promise() {
-        assert_eq!(sent(false, 2).ended(1000, Ending::Silent, true), Next::TooLate);
-        assert_eq!(sent(true, 2).ended(1000, Ending::Silent, true), Next::TooLate);
+        assert_eq!(
+            sent(false, 2).ended(1000, Ending::Silent, true),
+            Next::TooLate
+        );
+        assert_eq!(
+            sent(true, 2).ended(1000, Ending::Silent, true),
+            Next::TooLate
+        );
         assert_eq!(Journey::new(false, 2, 1000).give_up(2000), Next::Refuse);
-        assert_eq!((come_back(200_000, 3_000_000), come_back(900_000, 300_000)), (0.2, 0.1));
+        assert_eq!(
+            (come_back(200_000, 3_000_000), come_back(900_000, 300_000)),
+            (0.2, 0.1)
+        );
     }
 }
--- a/crates/http1/src/framing/body.rs
+++ b/crates/http1/src/framing/body.rs
@@ -20,7 +20,8 @@
     pub fn read(&mut self, bytes: &[u8]) -> Result<(usize, bool), Wrong> {
         match self {
             Body::Length(left) => {
-                let passed = usize::try_from(*left).map_or(bytes.len(), |left| left.min(bytes.len()));
+                let passed =
+                    usize::try_from(*left).map_or(bytes.len(), |left| left.min(bytes.len()));
                 *left -= passed as u64;
                 Ok((passed, *left == 0))
             }
@@ -67,7 +68,13 @@
 
 impl Chunks {
     pub fn new() -> Chunks {
-        Chunks { at: At::Size, left: 0, digits: 0, beside: 0, trailers: 0 }
+        Chunks {
+            at: At::Size,
+            left: 0,
+            digits: 0,
+            beside: 0,
+            trailers: 0,
+        }
     }
 
     fn read(&mut self, bytes: &[u8]) -> Result<(usize, bool), Wrong> {
@@ -89,7 +96,10 @@
             if ended {
                 return Ok((passed, true));
             }
-            if !matches!(self.at, At::Size | At::SizeFeed | At::Data | At::DataReturn | At::DataFeed) {
+            if !matches!(
+                self.at,
+                At::Size | At::SizeFeed | At::Data | At::DataReturn | At::DataFeed
+            ) {
                 self.beside += 1;
                 if self.beside > BESIDE {
                     return Err(Wrong::TooLong);
@@ -108,7 +118,9 @@
                 At::Size
             }
             (At::Size, _) if self.digits == 0 => return Err(Wrong::Chunk),
-            (At::Size | At::ExtensionName | At::ExtensionValue | At::QuotedEnd, b'\r') => At::SizeFeed,
+            (At::Size | At::ExtensionName | At::ExtensionValue | At::QuotedEnd, b'\r') => {
+                At::SizeFeed
+            }
             (At::Size | At::Gap | At::ExtensionValue | At::QuotedEnd, b';') => At::ExtensionStart,
             (At::ExtensionName | At::ExtensionNameGap, b';') => At::ExtensionStart,
             (At::Size | At::Gap | At::ExtensionValue | At::QuotedEnd, b' ' | b'\t') => At::Gap,
--- a/crates/http1/src/framing/head.rs
+++ b/crates/http1/src/framing/head.rs
@@ -34,8 +34,15 @@
                 if self.length.is_some() || value.is_empty() || value.len() > 19 {
                     return Err(Wrong::Length);
                 }
-                let digit = |b: &u8| (*b as char).to_digit(10).map(u64::from).ok_or(Wrong::Length);
-                let number = value.iter().try_fold(0, |sum: u64, b| Ok(sum * 10 + digit(b)?))?;
+                let digit = |b: &u8| {
+                    (*b as char)
+                        .to_digit(10)
+                        .map(u64::from)
+                        .ok_or(Wrong::Length)
+                };
+                let number = value
+                    .iter()
+                    .try_fold(0, |sum: u64, b| Ok(sum * 10 + digit(b)?))?;
                 self.length = Some(number);
             }
             17 if name.eq_ignore_ascii_case(b"transfer-encoding") => {
@@ -91,7 +98,9 @@
         }
         loop {
             let begin = self.lines.passed();
-            let Some(line) = self.lines.next(bytes, most)? else { return Ok(None) };
+            let Some(line) = self.lines.next(bytes, most)? else {
+                return Ok(None);
+            };
             let Some((_, _, old)) = self.first else {
                 self.first = Some(request_line(line)?);
                 continue;
@@ -126,15 +135,23 @@
             return Err(Wrong::Coding); // version 1.0 knows no chunks
         }
         let host = self.host.map(|(from, to)| &bytes[from..to]);
-        let target = self.first.map_or(&bytes[..0], |(from, to, _)| &bytes[from..to]);
+        let target = self
+            .first
+            .map_or(&bytes[..0], |(from, to, _)| &bytes[from..to]);
         match (host, authority(target)) {
             (None, _) if !old => return Err(Wrong::Host),
-            (Some(host), Some(named)) if !host.eq_ignore_ascii_case(named) => return Err(Wrong::Host),
+            (Some(host), Some(named)) if !host.eq_ignore_ascii_case(named) => {
+                return Err(Wrong::Host)
+            }
             _ => {}
         }
         let last = self.facts.close || (old && !self.facts.keep_alive);
         let body = body.filter(|b| *b != Body::Length(0));
-        Ok(Asked { len: self.lines.passed(), body, last })
+        Ok(Asked {
+            len: self.lines.passed(),
+            body,
+            last,
+        })
     }
 }
 
@@ -142,11 +159,21 @@
 fn request_line(line: &[u8]) -> Result<(usize, usize, bool), Wrong> {
     let (rest, old) = match line.strip_suffix(b" HTTP/1.1") {
         Some(rest) => (rest, false),
-        None => (line.strip_suffix(b" HTTP/1.0").ok_or(Wrong::FirstLine)?, true),
+        None => (
+            line.strip_suffix(b" HTTP/1.0").ok_or(Wrong::FirstLine)?,
+            true,
+        ),
     };
-    let method = rest.iter().position(|b| !in_token(*b)).ok_or(Wrong::FirstLine)?;
+    let method = rest
+        .iter()
+        .position(|b| !in_token(*b))
+        .ok_or(Wrong::FirstLine)?;
     let target = &rest[method + 1..];
-    if method == 0 || rest[method] != b' ' || target.is_empty() || !target.iter().all(|b| in_target(*b)) {
+    if method == 0
+        || rest[method] != b' '
+        || target.is_empty()
+        || !target.iter().all(|b| in_target(*b))
+    {
         return Err(Wrong::FirstLine);
     }
     Ok((method + 1, rest.len(), old))
@@ -159,13 +186,22 @@
     }
     let scheme = target.windows(3).position(|w| w == b"://")?;
     let rest = &target[scheme + 3..];
-    let end = rest.iter().position(|b| matches!(b, b'/' | b'?')).unwrap_or(rest.len());
+    let end = rest
+        .iter()
+        .position(|b| matches!(b, b'/' | b'?'))
+        .unwrap_or(rest.len());
     let named = &rest[..end];
-    Some(named.iter().rposition(|b| *b == b'@').map_or(named, |at| &named[at + 1..]))
+    Some(
+        named
+            .iter()
+            .rposition(|b| *b == b'@')
+            .map_or(named, |at| &named[at + 1..]),
+    )
 }
 
 fn split(head: &[u8]) -> impl Iterator<Item = &[u8]> {
-    head.split(|b| *b == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line))
+    head.split(|b| *b == b'\n')
+        .map(|line| line.strip_suffix(b"\r").unwrap_or(line))
 }
 
 /// Method and target of a head that was read before.
@@ -217,14 +253,21 @@
 
 impl AnswerHead {
     /// As with requests; `bodiless`: it answers a HEAD.
-    pub fn read(&mut self, bytes: &[u8], most: usize, bodiless: bool) -> Result<Option<Told>, Wrong> {
+    pub fn read(
+        &mut self,
+        bytes: &[u8],
+        most: usize,
+        bodiless: bool,
+    ) -> Result<Option<Told>, Wrong> {
         let begins = bytes.len().min(5);
         if bytes[..begins] != b"HTTP/"[..begins] {
             return Err(Wrong::FirstLine);
         }
         loop {
             let begin = self.lines.passed();
-            let Some(line) = self.lines.next(bytes, most)? else { return Ok(None) };
+            let Some(line) = self.lines.next(bytes, most)? else {
+                return Ok(None);
+            };
             let Some((status, old)) = self.first else {
                 self.first = Some(status_line(line)?);
                 continue;
@@ -259,7 +302,12 @@
             (_, Some(body)) if !bodiless && body != Body::Length(0) => Ends::With(body),
             _ => Ends::AtOnce,
         };
-        Ok(Told { len: self.lines.passed(), status, ends, id: self.id })
+        Ok(Told {
+            len: self.lines.passed(),
+            status,
+            ends,
+            id: self.id,
+        })
     }
 }
 
@@ -267,7 +315,10 @@
 fn status_line(line: &[u8]) -> Result<(u16, bool), Wrong> {
     let (rest, old) = match line.strip_prefix(b"HTTP/1.1 ") {
         Some(rest) => (rest, false),
-        None => (line.strip_prefix(b"HTTP/1.0 ").ok_or(Wrong::FirstLine)?, true),
+        None => (
+            line.strip_prefix(b"HTTP/1.0 ").ok_or(Wrong::FirstLine)?,
+            true,
+        ),
     };
     let (digits, reason) = rest.split_at_checked(3).ok_or(Wrong::FirstLine)?;
     let sound = digits.iter().all(u8::is_ascii_digit)
@@ -277,5 +328,10 @@
     if !sound {
         return Err(Wrong::FirstLine);
     }
-    Ok((digits.iter().fold(0, |sum, b| sum * 10 + u16::from(b - b'0')), old))
+    Ok((
+        digits
+            .iter()
+            .fold(0, |sum, b| sum * 10 + u16::from(b - b'0')),
+        old,
+    ))
 }
--- a/crates/http1/src/framing/lines.rs
+++ b/crates/http1/src/framing/lines.rs
@@ -140,12 +140,18 @@
     pub fn next<'a>(&mut self, bytes: &'a [u8], most: usize) -> Result<Option<&'a [u8]>, Wrong> {
         let Some(feed) = memchr::memchr(b'\n', &bytes[self.seen..]).map(|at| self.seen + at) else {
             self.seen = bytes.len();
-            return if bytes.len() >= most { Err(Wrong::TooLong) } else { Ok(None) };
+            return if bytes.len() >= most {
+                Err(Wrong::TooLong)
+            } else {
+                Ok(None)
+            };
         };
         if feed >= most {
             return Err(Wrong::TooLong);
         }
-        let line = bytes[self.begin..feed].strip_suffix(b"\r").ok_or(Wrong::BareFeed)?;
+        let line = bytes[self.begin..feed]
+            .strip_suffix(b"\r")
+            .ok_or(Wrong::BareFeed)?;
         (self.begin, self.seen, self.count) = (feed + 1, feed + 1, self.count + 1);
         Ok(Some(line))
     }
@@ -166,7 +172,10 @@
 
 /// Name and value of a header line; the name is checked.
 pub fn field(line: &[u8]) -> Result<(&[u8], &[u8]), Wrong> {
-    let colon = line.iter().position(|b| !in_token(*b)).ok_or(Wrong::Field)?;
+    let colon = line
+        .iter()
+        .position(|b| !in_token(*b))
+        .ok_or(Wrong::Field)?;
     if colon == 0 || line[colon] != b':' {
         return Err(Wrong::Field);
     }
--- a/crates/http1/src/framing/request_framing.rs
+++ b/crates/http1/src/framing/request_framing.rs
@@ -83,7 +83,11 @@
                 Err(wrong) => Step::Wrong(wrong),
             };
         }
-        let blank = bytes.chunks_exact(2).take_while(|pair| *pair == b"\r\n").count() * 2;
+        let blank = bytes
+            .chunks_exact(2)
+            .take_while(|pair| *pair == b"\r\n")
+            .count()
+            * 2;
         match (blank, bytes) {
             (1.., _) => return Step::Blank(blank),
             (_, b"\r") => return Step::More,
@@ -227,16 +231,26 @@
 
     /// Whether nothing that comes matters any more.
     fn deaf(&self) -> bool {
-        self.over || self.wrong.is_some() || self.fault.is_some() || (self.last && !self.requests.in_body())
+        self.over
+            || self.wrong.is_some()
+            || self.fault.is_some()
+            || (self.last && !self.requests.in_body())
     }
 
     fn read_on(&mut self, now: Micros, bounds: &Bounds) {
         while !self.deaf() && (self.behind.len() < MOST_AHEAD || self.requests.in_body()) {
-            match self.requests.next(&self.held[self.read..], bounds.head_bytes) {
+            match self
+                .requests
+                .next(&self.held[self.read..], bounds.head_bytes)
+            {
                 Step::More => {
                     // What stands still because the client is held up does not count.
                     let begun = self.read < self.held.len() && self.room(bounds) > 0;
-                    self.head_since = if begun { self.head_since.or(Some(now)) } else { None };
+                    self.head_since = if begun {
+                        self.head_since.or(Some(now))
+                    } else {
+                        None
+                    };
                     return;
                 }
                 Step::Blank(passed) => {
@@ -298,8 +312,12 @@
         if let Some(next) = self.behind.pop_front() {
             self.open += next.len;
             self.body_since = now;
-            self.work =
-                Some(Work { number: next.number, taken: next.taken, whole: next.whole, answered: false });
+            self.work = Some(Work {
+                number: next.number,
+                taken: next.taken,
+                whole: next.whole,
+                answered: false,
+            });
         }
     }
 
@@ -340,7 +358,9 @@
 
     /// Goes on to the next request once the answer is written; to be called whenever it may be.
     pub fn settle(&mut self, now: Micros, bounds: &Bounds) {
-        let Some(work) = self.work.filter(|w| w.answered) else { return };
+        let Some(work) = self.work.filter(|w| w.answered) else {
+            return;
+        };
         self.work = None;
         (self.free_since, self.rest) = (now, bounds.rest);
         // What is left of an answered request's body stands in the way of the next.
@@ -398,14 +418,18 @@
         if self.deaf() {
             return Micros::MAX;
         }
-        let head = self.head_since.map_or(Micros::MAX, |since| since.saturating_add(bounds.head));
+        let head = self
+            .head_since
+            .map_or(Micros::MAX, |since| since.saturating_add(bounds.head));
         let body = match self.work {
             Some(work) if !work.whole && !work.answered && self.start == self.open => {
                 self.body_since.saturating_add(bounds.idle)
             }
             None if self.head_since.is_none() => {
                 let rest = self.rest.max(bounds.rest);
-                self.free_since.saturating_add(rest).min(self.leaves.max(self.free_since))
+                self.free_since
+                    .saturating_add(rest)
+                    .min(self.leaves.max(self.free_since))
             }
             _ => Micros::MAX,
         };
@@ -418,7 +442,10 @@
         if now < self.wake(bounds) {
             return;
         }
-        if self.head_since.is_some_and(|since| since.saturating_add(bounds.head) <= now) {
+        if self
+            .head_since
+            .is_some_and(|since| since.saturating_add(bounds.head) <= now)
+        {
             self.wrong = Some(Wrong::SlowHead);
         } else if self.work.is_some() {
             self.fault = Some(Wrong::SlowBody);
--- a/crates/http1/src/framing/response_framing.rs
+++ b/crates/http1/src/framing/response_framing.rs
@@ -139,7 +139,9 @@
                         .read(&self.held[self.open..], LONGEST_HEAD, self.bodiless)
                         .map_err(Fault::Unreadable)?;
                     let Some(told) = told else { return Ok(()) };
-                    let id = told.id.map(|(from, to)| &self.held[self.open + from..self.open + to]);
+                    let id = told
+                        .id
+                        .map(|(from, to)| &self.held[self.open + from..self.open + to]);
                     let due = id.unwrap_or_default() == self.id;
                     let nameless = id.is_none();
                     if told.interim() {
@@ -149,7 +151,11 @@
                         self.open += told.len;
                         body_of(told.ends, true)
                     } else if nameless || self.mixed {
-                        return Err(if nameless { Fault::Nameless } else { Fault::Foreign });
+                        return Err(if nameless {
+                            Fault::Nameless
+                        } else {
+                            Fault::Foreign
+                        });
                     } else {
                         self.dropped += 1;
                         self.drop(told.len);
@@ -158,7 +164,9 @@
                 }
                 State::Body(body, due) => {
                     let due = *due;
-                    let (passed, whole) = body.read(&self.held[self.open..]).map_err(Fault::Unreadable)?;
+                    let (passed, whole) = body
+                        .read(&self.held[self.open..])
+                        .map_err(Fault::Unreadable)?;
                     if due {
                         self.open += passed;
                     } else {
--- a/crates/http1/src/framing/tests.rs
+++ b/crates/http1/src/framing/tests.rs
@@ -8,7 +8,12 @@
 use rand_chacha::ChaCha8Rng as Dice;
 use rstest::rstest;
 
-const BOUNDS: Bounds = Bounds { head_bytes: 1000, head: 3_000, idle: 15_000, rest: 15_000 };
+const BOUNDS: Bounds = Bounds {
+    head_bytes: 1000,
+    head: 3_000,
+    idle: 15_000,
+    rest: 15_000,
+};
 
 /// How a stream is cut into the pieces that come.
 #[derive(Clone, Copy, Debug)]
@@ -34,7 +39,9 @@
 }
 
 fn cuts() -> impl Iterator<Item = Cut> {
-    [Cut::Whole, Cut::Bytes].into_iter().chain((0..20).map(Cut::Dice))
+    [Cut::Whole, Cut::Bytes]
+        .into_iter()
+        .chain((0..20).map(Cut::Dice))
 }
 
 /// What a server sees of a stream: the bytes of each request, and how the connection stands at the end. Answers are
@@ -59,7 +66,11 @@
             door.settle(0, &BOUNDS);
         }
     }
-    (requests.into_iter().map(|(_, bytes)| bytes).collect(), door.stand(), door.fault())
+    (
+        requests.into_iter().map(|(_, bytes)| bytes).collect(),
+        door.stand(),
+        door.fault(),
+    )
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,7 +126,9 @@
                 let line: String = stream[at..at + len].iter().map(|b| *b as char).collect();
                 at += len + 2;
                 let size = line.split([';', ' ']).next().unwrap_or("");
-                let Some(size) = usize::from_str_radix(size, 16).ok().filter(|_| !size.starts_with('+'))
+                let Some(size) = usize::from_str_radix(size, 16)
+                    .ok()
+                    .filter(|_| !size.starts_with('+'))
                 else {
                     return (ends, End::Unsound);
                 };
@@ -146,15 +159,24 @@
 #[case("GET /a HTTP/1.1\r\nHost: a\nX: b\r\n\r\n", Wrong::BareFeed)]
 #[case("GET /a HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", Wrong::Field)]
 #[case("GET /a HTTP/1.1\r\n Host: a\r\n\r\n", Wrong::Field)]
-#[case("GET /a HTTP/1.1\r\nHost: a\r\nContent-Length : 5\r\n\r\nabcde", Wrong::Field)]
+#[case(
+    "GET /a HTTP/1.1\r\nHost: a\r\nContent-Length : 5\r\n\r\nabcde",
+    Wrong::Field
+)]
 #[case("GET /a HTTP/1.1\r\nHost: a\r\nContent-Length\r\n\r\n", Wrong::Field)]
 #[case("GET /a HTTP/1.1\r\nHost: a\r\n: b\r\n\r\n", Wrong::Field)]
 #[case("GET /a HTTP/1.1\r\nHost: a\r\nX\u{1}: b\r\n\r\n", Wrong::Field)]
 #[case("GET /a HTTP/1.1\r\nHost: a\r\nX: b\0\r\n\r\n", Wrong::Control)]
-#[case("GET /a HTTP/1.1\r\nHost: a\r\nX: b\rContent-Length: 9\r\n\r\n", Wrong::Control)]
+#[case(
+    "GET /a HTTP/1.1\r\nHost: a\r\nX: b\rContent-Length: 9\r\n\r\n",
+    Wrong::Control
+)]
 #[case("GET /a HTTP/1.1\r\n\r\n", Wrong::Host)]
 #[case("GET /a HTTP/1.1\r\nHost: a\r\nhost: a\r\n\r\n", Wrong::Host)]
-#[case("GET /a HTTP/1.1\r\nHost: a\r\nTry-Id: x\r\ntry-id: x\r\n\r\n", Wrong::Field)]
+#[case(
+    "GET /a HTTP/1.1\r\nHost: a\r\nTry-Id: x\r\ntry-id: x\r\n\r\n",
+    Wrong::Field
+)]
 #[case("GET /a HTTP/1.1\r\nHost: a b\r\n\r\n", Wrong::Host)]
 #[case("GET /a HTTP/1.1\r\nHost: a/b\r\n\r\n", Wrong::Host)]
 #[case("GET http://b/a HTTP/1.1\r\nHost: a\r\n\r\n", Wrong::Host)]
@@ -162,18 +184,51 @@
     "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     Wrong::Length
 )]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nabcdef", Wrong::Length)]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nabcde", Wrong::Length)]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5, 5\r\n\r\nabcde", Wrong::Length)]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\nabcde", Wrong::Length)]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 0x5\r\n\r\nabcde", Wrong::Length)]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5 5\r\n\r\nabcde", Wrong::Length)]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length:\r\n\r\n", Wrong::Length)]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 18446744073709551617\r\n\r\nx", Wrong::Length)]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", Wrong::Coding)]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n", Wrong::Coding)]
+#[case(
+    "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nabcdef",
+    Wrong::Length
+)]
+#[case(
+    "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nabcde",
+    Wrong::Length
+)]
+#[case(
+    "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5, 5\r\n\r\nabcde",
+    Wrong::Length
+)]
+#[case(
+    "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\nabcde",
+    Wrong::Length
+)]
+#[case(
+    "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 0x5\r\n\r\nabcde",
+    Wrong::Length
+)]
+#[case(
+    "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5 5\r\n\r\nabcde",
+    Wrong::Length
+)]
+#[case(
+    "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length:\r\n\r\n",
+    Wrong::Length
+)]
+#[case(
+    "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 18446744073709551617\r\n\r\nx",
+    Wrong::Length
+)]
+#[case(
+    "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+    Wrong::Coding
+)]
+#[case(
+    "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
+    Wrong::Coding
+)]
 #[case("POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n", Wrong::Coding)]
-#[case("POST /a HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", Wrong::Coding)]
+#[case(
+    "POST /a HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+    Wrong::Coding
+)]
 #[case("GET  /a HTTP/1.1\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
 #[case("GET /a b HTTP/1.1\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
 #[case("GET /a#b HTTP/1.1\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
@@ -217,7 +272,10 @@
     let stream = format!("{head}3\r\nabc\r\n{chunks}GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n");
     for cut in cuts() {
         let (requests, stand, fault) = seen(stream.as_bytes(), cut);
-        assert!(requests.len() == 1 && !requests[0].ends_with(b"0\r\n\r\n"), "{cut:?}");
+        assert!(
+            requests.len() == 1 && !requests[0].ends_with(b"0\r\n\r\n"),
+            "{cut:?}"
+        );
         assert!(!requests[0].windows(7).any(|w| w == b"/hidden"), "{cut:?}");
         assert_eq!((stand, fault), (Stand::Open, Some(Wrong::Chunk)), "{cut:?}");
     }
@@ -262,7 +320,10 @@
     };
     for cut in cuts() {
         assert_eq!(seen(head(1000).as_bytes(), cut).1, Stand::Open);
-        assert_eq!(seen(head(1001).as_bytes(), cut).1, Stand::Answer(Wrong::TooLong));
+        assert_eq!(
+            seen(head(1001).as_bytes(), cut).1,
+            Stand::Answer(Wrong::TooLong)
+        );
         let many = format!("GET /a HTTP/1.1\r\nHost: a\r\n{}", "X:\r\n".repeat(100));
         assert_eq!(seen(many.as_bytes(), cut).1, Stand::Answer(Wrong::TooLong));
     }
@@ -276,21 +337,38 @@
     let stream = format!("{text}GET /b HTTP/1.1\r\nHost: a\r\n\r\n\n");
     for cut in cuts() {
         let (requests, stand, _) = seen(stream.as_bytes(), cut);
-        assert_eq!((requests, stand), (vec![text.as_bytes().to_vec()], Stand::Over), "{cut:?}");
+        assert_eq!(
+            (requests, stand),
+            (vec![text.as_bytes().to_vec()], Stand::Over),
+            "{cut:?}"
+        );
     }
 }
 
 /// A sound request, by chance.
 fn sound(dice: &mut Dice) -> Vec<u8> {
     let method = ["GET", "POST", "PUT", "M-SEARCH"].choose(dice).unwrap();
-    let mut head = format!("{method} /{}?q HTTP/1.1\r\nHost: a.example\r\n", dice.gen::<u16>());
+    let mut head = format!(
+        "{method} /{}?q HTTP/1.1\r\nHost: a.example\r\n",
+        dice.gen::<u16>()
+    );
     for i in 0..dice.gen_range(0..4) {
-        head += &format!("X-{i}:{}v{}\r\n", [" ", "", " \t"].choose(dice).unwrap(), dice.gen::<u16>());
+        head += &format!(
+            "X-{i}:{}v{}\r\n",
+            [" ", "", " \t"].choose(dice).unwrap(),
+            dice.gen::<u16>()
+        );
     }
-    let body: Vec<u8> = (0..dice.gen_range(0..200)).map(|_| *b"\r\n0a:G ".choose(dice).unwrap()).collect();
+    let body: Vec<u8> = (0..dice.gen_range(0..200))
+        .map(|_| *b"\r\n0a:G ".choose(dice).unwrap())
+        .collect();
     match dice.gen_range(0..3) {
         0 => (head + "\r\n").into(),
-        1 => [format!("{head}Content-Length: {}\r\n\r\n", body.len()).into_bytes(), body].concat(),
+        1 => [
+            format!("{head}Content-Length: {}\r\n\r\n", body.len()).into_bytes(),
+            body,
+        ]
+        .concat(),
         _ => {
             let mut bytes = (head + "Transfer-Encoding: chunked\r\n\r\n").into_bytes();
             let mut rest = body.as_slice();
@@ -301,7 +379,12 @@
                 bytes.extend([some, b"\r\n"].concat());
                 rest = more;
             }
-            bytes.extend(["0\r\n\r\n", "000;x\r\nT: u\r\n\r\n"].choose(dice).unwrap().bytes());
+            bytes.extend(
+                ["0\r\n\r\n", "000;x\r\nT: u\r\n\r\n"]
+                    .choose(dice)
+                    .unwrap()
+                    .bytes(),
+            );
             bytes
         }
     }
@@ -312,10 +395,16 @@
 fn pipelines_come_out_as_they_were_put_in() {
     for seed in 0..300 {
         let mut dice = Dice::seed_from_u64(seed);
-        let requests: Vec<Vec<u8>> = (0..dice.gen_range(1..7)).map(|_| sound(&mut dice)).collect();
+        let requests: Vec<Vec<u8>> = (0..dice.gen_range(1..7))
+            .map(|_| sound(&mut dice))
+            .collect();
         let stream = requests.concat();
         for cut in [Cut::Whole, Cut::Bytes, Cut::Dice(seed)] {
-            assert_eq!(seen(&stream, cut), (requests.clone(), Stand::Open, None), "seed {seed}, {cut:?}");
+            assert_eq!(
+                seen(&stream, cut),
+                (requests.clone(), Stand::Open, None),
+                "seed {seed}, {cut:?}"
+            );
         }
     }
 }
@@ -358,23 +447,35 @@
             }
         }
         let (plain, _) = reference_ends(&stream);
-        assert!(plain.starts_with(&ends), "seed {seed}: {ends:?}, read plainly {plain:?}");
+        assert!(
+            plain.starts_with(&ends),
+            "seed {seed}: {ends:?}, read plainly {plain:?}"
+        );
         passed += ends.len();
         // And cut into pieces it reads the same, but for how much is seen of a body that is spoilt.
         let whole = |cut| {
             let (mut requests, stand, fault) = seen(&stream, cut);
             requests.truncate(requests.len() - usize::from(fault.is_some()));
-            let wrong = if let Stand::Answer(wrong) = stand { Some(wrong) } else { fault };
+            let wrong = if let Stand::Answer(wrong) = stand {
+                Some(wrong)
+            } else {
+                fault
+            };
             (requests, wrong)
         };
         assert_eq!(whole(Cut::Whole), whole(Cut::Dice(seed)), "seed {seed}");
     }
-    assert!(passed > 4000, "most streams begin with a request that is sound: {passed}");
+    assert!(
+        passed > 4000,
+        "most streams begin with a request that is sound: {passed}"
+    );
 }
 
 fn door(texts: &[&str]) -> Doorway {
     let mut door = Doorway::new(0);
-    texts.iter().for_each(|text| door.feed(0, &BOUNDS, text.as_bytes()));
+    texts
+        .iter()
+        .for_each(|text| door.feed(0, &BOUNDS, text.as_bytes()));
     let shown = door.shown().len();
     door.took(0, shown);
     door
@@ -407,7 +508,11 @@
 
     let mut body = door(&["PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n"]);
     body.feed(10_000, &BOUNDS, b"abc");
-    assert_eq!(body.wake(&BOUNDS), u64::MAX, "the server is to take what has come");
+    assert_eq!(
+        body.wake(&BOUNDS),
+        u64::MAX,
+        "the server is to take what has come"
+    );
     body.took(11_000, 3);
     body.tick(25_999, &BOUNDS);
     assert_eq!(body.fault(), None);
@@ -419,7 +524,10 @@
 /// a full buffer the client is held up, and a head cut in two there is not late.
 #[test]
 fn what_is_read_ahead_is_bounded() {
-    let plain = format!("GET /a HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n", "y".repeat(900));
+    let plain = format!(
+        "GET /a HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
+        "y".repeat(900)
+    );
     let mut door = Doorway::new(0);
     let (mut sent, mut rest) = (0, Vec::new());
     while door.room(&BOUNDS) > 0 {
@@ -441,7 +549,11 @@
         door.settle(1_000_000, &BOUNDS);
     }
     assert_eq!((served, door.stand()), (sent - 1, Stand::Open));
-    assert_eq!(door.wake(&BOUNDS), 1_003_000, "the head begins to count where it is waited for");
+    assert_eq!(
+        door.wake(&BOUNDS),
+        1_003_000,
+        "the head begins to count where it is waited for"
+    );
 }
 
 /// Guards against starting what must wait: early are only whole requests without a body behind safe ones, at most
@@ -451,7 +563,11 @@
     let plain = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
     let post = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
     let mut door = door(&[&plain.repeat(30)]);
-    assert_eq!(door.early(), None, "the one in work is not known to be safe");
+    assert_eq!(
+        door.early(),
+        None,
+        "the one in work is not known to be safe"
+    );
     door.safe(1);
     let mut started = Vec::new();
     while let Some((number, head)) = door.early().map(|e| (e.number, e.head.to_vec())) {
@@ -484,12 +600,17 @@
         echo.took(some.len());
         shown.extend(some);
     }
-    (String::from_utf8(shown).unwrap(), echo.fault(), echo.usable())
+    (
+        String::from_utf8(shown).unwrap(),
+        echo.fault(),
+        echo.usable(),
+    )
 }
 
 const OK: &str = "HTTP/1.1 200 OK\r\nTry-Id: t1\r\nContent-Length: 3\r\n\r\nabc";
 const LATE: &str = "HTTP/1.1 200 OK\r\ntry-id: t0\r\nContent-Length: 4\r\n\r\nlate";
-const CHUNKS: &str = "HTTP/1.1 500 \r\nTry-Id: t1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
+const CHUNKS: &str =
+    "HTTP/1.1 500 \r\nTry-Id: t1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
 const LATE_CHUNKS: &str =
     "HTTP/1.1 200\r\nTry-Id: t0\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
 
@@ -523,7 +644,11 @@
     #[case] usable: bool,
 ) {
     for cut in cuts() {
-        assert_eq!(heard(stream.as_bytes(), cut, false), (answer.to_owned(), fault, usable), "{cut:?}");
+        assert_eq!(
+            heard(stream.as_bytes(), cut, false),
+            (answer.to_owned(), fault, usable),
+            "{cut:?}"
+        );
     }
 }
 
@@ -534,8 +659,14 @@
     let (empty, unchanged) = (head.replace("200", "204"), head.replace("200", "304"));
     for cut in cuts() {
         assert_eq!(heard(head.as_bytes(), cut, true), (head.into(), None, true));
-        assert_eq!(heard(empty.as_bytes(), cut, false), (empty.clone(), None, true));
-        assert_eq!(heard(unchanged.as_bytes(), cut, false), (unchanged.clone(), None, true));
+        assert_eq!(
+            heard(empty.as_bytes(), cut, false),
+            (empty.clone(), None, true)
+        );
+        assert_eq!(
+            heard(unchanged.as_bytes(), cut, false),
+            (unchanged.clone(), None, true)
+        );
         assert_eq!(heard(LATE.as_bytes(), cut, true).1, Some(Fault::Foreign));
     }
 }
@@ -546,7 +677,10 @@
     let mut echo = Echo::default();
     assert!(echo.ask(b"t1", false));
     echo.feed(OK.as_bytes());
-    assert_eq!((echo.shown(), echo.fault()), (&b""[..], Some(Fault::Unasked)));
+    assert_eq!(
+        (echo.shown(), echo.fault()),
+        (&b""[..], Some(Fault::Unasked))
+    );
     assert!(!echo.ask(b"t2", false));
 }
 
@@ -555,7 +689,10 @@
 fn what_is_called_off_was_never_written_and_never_will_be() {
     let mut echo = Echo::default();
     assert!(echo.ask(b"t1", false) && echo.call_off());
-    assert_eq!((echo.fault(), echo.usable(), echo.ask(b"t2", false)), (Some(Fault::CalledOff), false, false));
+    assert_eq!(
+        (echo.fault(), echo.usable(), echo.ask(b"t2", false)),
+        (Some(Fault::CalledOff), false, false)
+    );
     let mut written = Echo::default();
     assert!(written.ask(b"t1", false));
     written.written();
@@ -579,7 +716,10 @@
     door.answered();
     door.settle(0, &BOUNDS);
     door.feed(0, &BOUNDS, &[b'x'; 500]);
-    assert_eq!((door.stand(), door.shown(), door.work()), (Stand::Over, &b""[..], None));
+    assert_eq!(
+        (door.stand(), door.shown(), door.work()),
+        (Stand::Over, &b""[..], None)
+    );
 }
 
 /// Guards against ending a connection whose client goes by the bounds that held when it came to rest.
@@ -587,7 +727,10 @@
 fn the_longest_rest_holds() {
     let mut door = door(&[]);
     door.tick(1_000, &BOUNDS);
-    let shorter = Bounds { rest: 4_000, ..BOUNDS };
+    let shorter = Bounds {
+        rest: 4_000,
+        ..BOUNDS
+    };
     door.tick(14_999, &shorter);
     assert_eq!(door.stand(), Stand::Open);
     door.tick(15_000, &shorter);
--- a/crates/http1/src/orders.rs
+++ b/crates/http1/src/orders.rs
@@ -34,7 +34,9 @@
             .front()
             .is_some_and(|(at, _)| self.came.len() >= MOST || at.saturating_add(KEPT) < now)
         {
-            let Some((at, number)) = self.came.pop_front() else { break };
+            let Some((at, number)) = self.came.pop_front() else {
+                break;
+            };
             if self.known.get(&number) == Some(&at) {
                 self.known.remove(&number);
             }
--- a/crates/http1/tests/corpus.rs
+++ b/crates/http1/tests/corpus.rs
@@ -6,7 +6,10 @@
 fn replay(target: &str, check: fn(&[u8])) {
     let folder = format!("{}/fuzz/corpus/{target}", env!("CARGO_MANIFEST_DIR"));
     let mut played = 0;
-    for file in std::fs::read_dir(folder).expect("a corpus").map(|file| file.expect("a file").path()) {
+    for file in std::fs::read_dir(folder)
+        .expect("a corpus")
+        .map(|file| file.expect("a file").path())
+    {
         let input = std::fs::read(&file).expect("bytes");
         println!("{}", file.display());
         check(&input);
--- a/crates/http1/tests/orders.rs
+++ b/crates/http1/tests/orders.rs
@@ -12,7 +12,10 @@
     orders.forget(b"b", "/x");
     assert!(orders.admit(KEPT, b"b", "/x"));
     assert!(!orders.admit(KEPT, b"b", "/x"));
-    assert!(orders.admit(KEPT + 1, b"a", "/x"), "it is forgotten by then");
+    assert!(
+        orders.admit(KEPT + 1, b"a", "/x"),
+        "it is forgotten by then"
+    );
 }
 
 /// Guards against memory without end, and against forgetting the newest.
--- a/crates/load-balancer/src/endpoint_selection.rs
+++ b/crates/load-balancer/src/endpoint_selection.rs
@@ -233,7 +233,10 @@
     /// This agent's forwards under way to appliances of versions that `which` names.
     pub fn under_way(&self, service: &str, which: impl Fn(&str) -> bool) -> usize {
         let members = self.services.get(service).map_or(&[][..], |s| &s.members);
-        let those = members.iter().map(|m| &self.all[*m]).filter(|a| which(&a.listed.version));
+        let those = members
+            .iter()
+            .map(|m| &self.all[*m])
+            .filter(|a| which(&a.listed.version));
         those.map(|a| a.flying.len()).sum()
     }
 
@@ -266,16 +269,21 @@
             return None;
         }
         let open = members.iter().map(|at| &self.all[*at].listed);
-        let mut numbers: Vec<u32> =
-            open.filter(|l| !l.closing && (ask.versions)(&l.version)).map(|l| mix(0, &l.id)).collect();
+        let mut numbers: Vec<u32> = open
+            .filter(|l| !l.closing && (ask.versions)(&l.version))
+            .map(|l| mix(0, &l.id))
+            .collect();
         numbers.sort_unstable();
         numbers.get(ask.focus as usize - 1).copied()
     }
 
     /// Chooses an appliance.
     pub fn choose(&mut self, now: Micros, ask: Ask) -> Result<Choice, Nobody> {
-        let Some(service) = self.services.get(ask.service) else { return Err(Nobody::Listed) };
-        let (mut best, mut spare, mut listed): (Option<Choice>, Option<Choice>, bool) = (None, None, false);
+        let Some(service) = self.services.get(ask.service) else {
+            return Err(Nobody::Listed);
+        };
+        let (mut best, mut spare, mut listed): (Option<Choice>, Option<Choice>, bool) =
+            (None, None, false);
         let mut least = f64::INFINITY;
         let jitter = self.chance.gen_range(0.0..0.02);
         let most = self.focus(&service.members, &ask);
@@ -300,7 +308,10 @@
             let expected = time * ((ahead + 1.0) / berths).max(1.0);
             if !self.fit(a, service, now, ask.repeatable) {
                 if spare.is_none_or(|s| expected < s.expected) {
-                    spare = Some(Choice { appliance: *at, expected });
+                    spare = Some(Choice {
+                        appliance: *at,
+                        expected,
+                    });
                 }
                 continue;
             }
@@ -310,7 +321,13 @@
             let crowd = 0.3 * (ahead / berths).min(1.0);
             let cost = expected * (1.0 + 4.0 * a.bad) + service.usual * (far + taste + crowd);
             if cost < least {
-                (least, best) = (cost, Some(Choice { appliance: *at, expected }));
+                (least, best) = (
+                    cost,
+                    Some(Choice {
+                        appliance: *at,
+                        expected,
+                    }),
+                );
             }
         }
         match best.or(spare) {
@@ -330,11 +347,24 @@
     }
 
     /// A request's forward has ended. `spent`: what the appliance took for it.
-    pub fn ended(&mut self, now: Micros, appliance: usize, number: u64, sign: Sign, load: Option<Load>) {
-        let Some(a) = self.all.get_mut(appliance) else { return };
-        let Some(place) = a.flying.iter().position(|(n, _)| *n == number) else { return };
+    pub fn ended(
+        &mut self,
+        now: Micros,
+        appliance: usize,
+        number: u64,
+        sign: Sign,
+        load: Option<Load>,
+    ) {
+        let Some(a) = self.all.get_mut(appliance) else {
+            return;
+        };
+        let Some(place) = a.flying.iter().position(|(n, _)| *n == number) else {
+            return;
+        };
         let (_, sent) = a.flying.swap_remove(place);
-        let Some(service) = self.services.get_mut(&a.listed.service) else { return };
+        let Some(service) = self.services.get_mut(&a.listed.service) else {
+            return;
+        };
         if let Some(load) = load {
             let all = f64::from(load.running + load.waiting);
             (a.others, a.told_at) = ((all - a.flying.len() as f64).max(0.0), now);
@@ -412,12 +442,20 @@
     /// A field of appliances of one zone.
     fn field(ids: &[&str]) -> Field {
         let mut field = Field::new("a", 3);
-        ids.iter().for_each(|id| field.list(0, listed(id, "a", "v1")));
+        ids.iter()
+            .for_each(|id| field.list(0, listed(id, "a", "v1")));
         field
     }
 
     fn ask<'a>(versions: &'a dyn Fn(&str) -> bool, not: &'a [usize], repeatable: bool) -> Ask<'a> {
-        Ask { service: "s", versions, not, repeatable, precedence: 2, focus: 0 }
+        Ask {
+            service: "s",
+            versions,
+            not,
+            repeatable,
+            precedence: 2,
+            focus: 0,
+        }
     }
 
     fn any(_: &str) -> bool {
@@ -439,7 +477,10 @@
             field.sent(0, at);
             *sent.entry(id).or_default() += 1;
             let (least, most) = (sent.values().min(), sent.values().max());
-            assert!(sent.len() < 3 || most.zip(least).is_some_and(|(m, l)| m - l <= 1), "{sent:?}");
+            assert!(
+                sent.len() < 3 || most.zip(least).is_some_and(|(m, l)| m - l <= 1),
+                "{sent:?}"
+            );
         }
         // Two at work and a few that wait: some appliances never answer what is beyond that.
         assert_eq!(sent.values().sum::<u32>(), 3 * 5);
@@ -451,10 +492,19 @@
     fn only_those_that_may_get_it_are_chosen() {
         let mut field = field(&["x"]);
         field.list(0, listed("new", "a", "v2"));
-        field.list(0, Listed { closing: true, ..listed("old", "a", "v1") });
+        field.list(
+            0,
+            Listed {
+                closing: true,
+                ..listed("old", "a", "v1")
+            },
+        );
         let x = field.find("x").expect("listed");
         let v1 = |version: &str| version == "v1";
-        assert_eq!(field.choose(0, ask(&v1, &[], true)).map(|c| c.appliance), Ok(x));
+        assert_eq!(
+            field.choose(0, ask(&v1, &[], true)).map(|c| c.appliance),
+            Ok(x)
+        );
         assert_eq!(field.choose(0, ask(&v1, &[x], true)), Err(Nobody::Listed));
         field.drop("x");
         assert_eq!(field.choose(0, ask(&v1, &[], true)), Err(Nobody::Listed));
@@ -466,14 +516,22 @@
     #[test]
     fn a_silent_appliance_gets_nothing_that_may_run_once_only() {
         let mut field = field(&["x", "y"]);
-        let (x, y) = (field.find("x").expect("listed"), field.find("y").expect("listed"));
+        let (x, y) = (
+            field.find("x").expect("listed"),
+            field.find("y").expect("listed"),
+        );
         let lost = field.sent(0, x);
         let busy: Vec<u64> = (0..4).map(|_| field.sent(500 * MS, y)).collect();
         // It owes an answer for long: the busier one is taken.
         assert_eq!(choose(&mut field, 800 * MS, false).as_deref(), Ok("y"));
         field.ended(800 * MS, x, lost, Sign::Silent, None);
-        assert_eq!(choose(&mut field, 1000 * MS, true).as_deref(), Ok("y"), "left alone at first");
-        busy.iter().for_each(|b| field.ended(1000 * MS, y, *b, Sign::Served, None));
+        assert_eq!(
+            choose(&mut field, 1000 * MS, true).as_deref(),
+            Ok("y"),
+            "left alone at first"
+        );
+        busy.iter()
+            .for_each(|b| field.ended(1000 * MS, y, *b, Sign::Served, None));
         let later = 1400 * MS;
         assert_eq!(choose(&mut field, later, false).as_deref(), Ok("y"));
         let trial = field.sent(later, x);
@@ -497,9 +555,16 @@
         field.list(0, listed("y", "b", "v1"));
         let x = field.find("x").expect("listed");
         let number = field.sent(0, x);
-        let load = Load { running: 2, waiting: 2, berths: 2 };
+        let load = Load {
+            running: 2,
+            waiting: 2,
+            berths: 2,
+        };
         field.ended(100 * MS, x, number, Sign::Served, Some(load));
-        assert_eq!(choose(&mut field, (100 + later) * MS, true).as_deref(), Ok(chosen));
+        assert_eq!(
+            choose(&mut field, (100 + later) * MS, true).as_deref(),
+            Ok(chosen)
+        );
     }
 
     /// Guards against a trial that is meant to load a few appliances and is spread by each agent to others.
@@ -509,9 +574,18 @@
         let mut met = std::collections::BTreeSet::new();
         for seed in 0..20 {
             let mut field = Field::new("a", seed);
-            ids.iter().for_each(|id| field.list(0, listed(id, "a", "v2")));
+            ids.iter()
+                .for_each(|id| field.list(0, listed(id, "a", "v2")));
             for _ in 0..4 {
-                let choice = field.choose(0, Ask { focus: 2, ..ask(&any, &[], true) }).expect("one of two");
+                let choice = field
+                    .choose(
+                        0,
+                        Ask {
+                            focus: 2,
+                            ..ask(&any, &[], true)
+                        },
+                    )
+                    .expect("one of two");
                 met.insert(field.get(choice.appliance).expect("listed").id.clone());
                 field.sent(0, choice.appliance);
             }
@@ -526,7 +600,16 @@
         let x = field.find("x").expect("listed");
         let mut room = |precedence| {
             let mut sent = 0;
-            while field.choose(0, Ask { precedence, ..ask(&any, &[], false) }).is_ok() {
+            while field
+                .choose(
+                    0,
+                    Ask {
+                        precedence,
+                        ..ask(&any, &[], false)
+                    },
+                )
+                .is_ok()
+            {
                 field.sent(0, x);
                 sent += 1;
             }
@@ -539,7 +622,13 @@
     #[test]
     fn a_cold_appliance_waits_until_the_warm_ones_are_busy() {
         let mut field = field(&["x"]);
-        field.list(0, Listed { cold_until: 3000 * MS, ..listed("cold", "a", "v1") });
+        field.list(
+            0,
+            Listed {
+                cold_until: 3000 * MS,
+                ..listed("cold", "a", "v1")
+            },
+        );
         let x = field.find("x").expect("listed");
         assert_eq!(choose(&mut field, 0, true).as_deref(), Ok("x"));
         (0..3).for_each(|_| _ = field.sent(0, x));
--- a/crates/load-balancer/src/retry_budget.rs
+++ b/crates/load-balancer/src/retry_budget.rs
@@ -26,14 +26,21 @@
 impl Budget {
     /// `ratio` and `slack` as stated for the sum over all agents.
     pub fn new(ratio: f64, slack: f64) -> Budget {
-        let mut budget = Budget { ratio, ..Budget::default() };
+        let mut budget = Budget {
+            ratio,
+            ..Budget::default()
+        };
         budget.share(slack, 0);
         budget
     }
 
     /// So many agents hold parts of the slack; 0: not known, so nothing of it is this agent's yet.
     pub fn share(&mut self, slack: f64, agents: u32) {
-        let part = if agents == 0 { 0.0 } else { GIVEN_OUT * slack / f64::from(agents) };
+        let part = if agents == 0 {
+            0.0
+        } else {
+            GIVEN_OUT * slack / f64::from(agents)
+        };
         self.depth = part.clamp(FIRST, MOST_SAVED);
         self.saved.values_mut().for_each(|s| *s = s.min(self.depth));
     }
@@ -52,7 +59,11 @@
 
     /// What is saved up.
     pub fn saved(&self, service: &str) -> f64 {
-        self.saved.get(service).copied().unwrap_or(FIRST).min(self.depth)
+        self.saved
+            .get(service)
+            .copied()
+            .unwrap_or(FIRST)
+            .min(self.depth)
     }
 
     /// A further forward goes to the service.
@@ -95,11 +106,17 @@
                 spent.push(now);
             }
         }
-        let within =
-            |list: &[u64], from: u64| list.iter().filter(|t| (from..from + window).contains(t)).count();
+        let within = |list: &[u64], from: u64| {
+            list.iter()
+                .filter(|t| (from..from + window).contains(t))
+                .count()
+        };
         for from in (0..50_000).step_by(500) {
             let (requests, more) = (within(&taken, from) as f64, within(&spent, from) as f64);
-            assert!(more <= ratio * requests + slack, "{more} of {requests} from {from}");
+            assert!(
+                more <= ratio * requests + slack,
+                "{more} of {requests} from {from}"
+            );
         }
         assert!(spent.len() > 500, "nothing was tried: {}", spent.len());
     }
--- a/crates/operator-config/src/changes.rs
+++ b/crates/operator-config/src/changes.rs
@@ -99,10 +99,16 @@
 
 /// Stages a file and gives its number.
 fn staged(v: &mut Versions, rate: f64) -> u64 {
-    match v.stage(&file(rate), "ada", "a reason", 1.0).expect("a good file") {
+    match v
+        .stage(&file(rate), "ada", "a reason", 1.0)
+        .expect("a good file")
+    {
         Ok(step) => {
             v.done(&step).expect("it follows");
-            v.all().map(|(version, ..)| version.number).max().expect("one")
+            v.all()
+                .map(|(version, ..)| version.number)
+                .max()
+                .expect("one")
         }
         Err(number) => number,
     }
@@ -114,7 +120,8 @@
 }
 
 fn rate(v: &Versions) -> Option<crate::Setting> {
-    v.values(v.running()).and_then(|values| values.get("verdict.good_sent_back").cloned())
+    v.values(v.running())
+        .and_then(|values| values.get("verdict.good_sent_back").cloned())
 }
 
 #[test]
@@ -130,10 +137,19 @@
     applied(&mut v, second).expect("applied");
     let undone = v.undo("ada", "late", 4.0).expect("watched");
     v.done(&undone).expect("undone");
-    assert_eq!((v.running(), v.kept(), rate(&v)), (first, first, Some(crate::Setting::Number(0.1))));
+    assert_eq!(
+        (v.running(), v.kept(), rate(&v)),
+        (first, first, Some(crate::Setting::Number(0.1)))
+    );
     // An undo of an undo is a change like any other: staged anew, since the undone one stands as undone.
     assert!(matches!(v.undo("ada", "", 5.0), Err(Refusal::Nothing(_))));
-    assert!(matches!(applied(&mut v, second), Err(Refusal::Stands { standing: Standing::Undone, .. })));
+    assert!(matches!(
+        applied(&mut v, second),
+        Err(Refusal::Stands {
+            standing: Standing::Undone,
+            ..
+        })
+    ));
     let again = staged(&mut v, 0.2);
     assert!(again > second);
     applied(&mut v, again).expect("applied");
@@ -143,16 +159,32 @@
 fn two_changes_at_once_and_one_staged_against_an_older_base_are_refused() {
     let mut v = versions();
     let (one, two) = (staged(&mut v, 0.1), staged(&mut v, 0.2));
-    assert_eq!(staged(&mut v, 0.1), one, "the same file twice is one version");
+    assert_eq!(
+        staged(&mut v, 0.1),
+        one,
+        "the same file twice is one version"
+    );
     applied(&mut v, one).expect("applied");
     assert_eq!(applied(&mut v, two), Err(Refusal::Watched(one)));
     let during = staged(&mut v, 0.3);
     let kept = v.keep("by hand", 3.0).expect("watched");
     v.done(&kept).expect("kept");
-    assert_eq!(applied(&mut v, two), Err(Refusal::Stale { number: two, base: 0, runs: one }));
+    assert_eq!(
+        applied(&mut v, two),
+        Err(Refusal::Stale {
+            number: two,
+            base: 0,
+            runs: one
+        })
+    );
     applied(&mut v, during).expect("staged against what runs");
     assert_eq!(v.apply(99, "ada", 1.0), Err(Refusal::Unknown(99)));
-    let wrong = v.stage("<magpieline><verdict good-sent-back='9'/><x/></magpieline>", "ada", "", 1.0);
+    let wrong = v.stage(
+        "<magpieline><verdict good-sent-back='9'/><x/></magpieline>",
+        "ada",
+        "",
+        1.0,
+    );
     assert!(matches!(wrong, Err(Refusal::Wrong(all)) if all.len() == 2));
 }
 
@@ -168,10 +200,16 @@
     for i in 0..300 {
         staged(&mut v, 0.1001 + f64::from(i) / 1000.0);
     }
-    assert!(v.values(first).is_some(), "two hits are still under way under it");
+    assert!(
+        v.values(first).is_some(),
+        "two hits are still under way under it"
+    );
     assert_eq!((v.unpin(first), v.unpin(first)), (false, true));
     staged(&mut v, 0.45);
-    assert!(v.values(first).is_none() && v.all().count() <= 101, "remembered no longer, and bounded");
+    assert!(
+        v.values(first).is_none() && v.all().count() <= 101,
+        "remembered no longer, and bounded"
+    );
 }
 
 /// Some hundred steps, and where each record of them ends.
@@ -179,24 +217,44 @@
     let (mut v, mut steps) = (versions(), Vec::new());
     for i in 0..34 {
         let text = file(0.001 * f64::from(i + 1));
-        let staged = v.stage(&text, "ada", "step", f64::from(i)).expect("good").expect("new");
+        let staged = v
+            .stage(&text, "ada", "step", f64::from(i))
+            .expect("good")
+            .expect("new");
         v.done(&staged).expect("follows");
-        let applied =
-            v.apply(v.all().map(|(x, ..)| x.number).max().expect("one"), "ada", 1.0).expect("staged");
+        let applied = v
+            .apply(
+                v.all().map(|(x, ..)| x.number).max().expect("one"),
+                "ada",
+                1.0,
+            )
+            .expect("staged");
         v.done(&applied).expect("follows");
-        let ended = if i % 3 == 0 { v.undo("watch", "late", 2.0) } else { v.keep("quiet", 2.0) };
+        let ended = if i % 3 == 0 {
+            v.undo("watch", "late", 2.0)
+        } else {
+            v.keep("quiet", 2.0)
+        };
         let ended = ended.expect("watched");
         v.done(&ended).expect("follows");
         steps.extend([staged, applied, ended]);
     }
     let (bytes, mut ends) = (whole(&steps).expect("bytes"), vec![8]);
-    steps.iter().for_each(|s| ends.push(ends[ends.len() - 1] + frame(s).expect("a record").len()));
+    steps
+        .iter()
+        .for_each(|s| ends.push(ends[ends.len() - 1] + frame(s).expect("a record").len()));
     (steps, bytes, ends)
 }
 
 /// What runs after these steps, by the rule alone: the last kept.
 fn last_kept(steps: &[Step]) -> u64 {
-    let kept = |s: &Step| if let Step::Kept { number, .. } = s { Some(*number) } else { None };
+    let kept = |s: &Step| {
+        if let Step::Kept { number, .. } = s {
+            Some(*number)
+        } else {
+            None
+        }
+    };
     steps.iter().rev().find_map(kept).unwrap_or(0)
 }
 
@@ -208,14 +266,26 @@
         let opened = Journal::open::<Step>(plate.clone()).expect("it opens");
         let whole = ends.iter().rposition(|e| *e <= cut).unwrap_or(0);
         assert_eq!(opened.records, steps[..whole], "cut at {cut}");
-        assert_eq!(opened.damage.is_some(), cut != 0 && !ends.contains(&cut), "cut at {cut}");
+        assert_eq!(
+            opened.damage.is_some(),
+            cut != 0 && !ends.contains(&cut),
+            "cut at {cut}"
+        );
         if cut % 41 == 0 || ends.contains(&cut) {
             let v = Versions::recover(Schema::own(), &opened.records, &mut Vec::new());
-            assert_eq!((v.running(), v.kept()), (last_kept(&steps[..whole]), last_kept(&steps[..whole])));
+            assert_eq!(
+                (v.running(), v.kept()),
+                (last_kept(&steps[..whole]), last_kept(&steps[..whole]))
+            );
         }
         // It goes on from there, and reads back whole.
         let mut journal = opened.journal;
-        journal.add(&Step::Snapshot { versions: Vec::new(), kept: 0 }).expect("added");
+        journal
+            .add(&Step::Snapshot {
+                versions: Vec::new(),
+                kept: 0,
+            })
+            .expect("added");
         let (again, _, damage) = read::<Step>(&plate.bytes.borrow());
         assert_eq!((again.len(), damage), (whole + 1, None));
     }
@@ -230,13 +300,26 @@
         let (records, good, damage) = read::<Step>(&flipped);
         let before = ends.iter().rposition(|e| *e <= at).unwrap_or(0);
         assert_eq!(records, steps[..before], "flipped at {at}");
-        assert!(damage.is_some_and(|d| d.at == good && d.bytes == bytes.len() - good), "flipped at {at}");
+        assert!(
+            damage.is_some_and(|d| d.at == good && d.bytes == bytes.len() - good),
+            "flipped at {at}"
+        );
     }
     let mut flipped = bytes;
     flipped[ends[10] + 20] ^= 4;
     let plate = Plate::holding(&flipped);
-    assert_eq!(Journal::open::<Step>(plate.clone()).expect("it opens").records.len(), 10);
-    assert_eq!(plate.aside.borrow().as_deref(), Some(&flipped[..]), "kept for people to look at");
+    assert_eq!(
+        Journal::open::<Step>(plate.clone())
+            .expect("it opens")
+            .records
+            .len(),
+        10
+    );
+    assert_eq!(
+        plate.aside.borrow().as_deref(),
+        Some(&flipped[..]),
+        "kept for people to look at"
+    );
 }
 
 #[test]
@@ -245,7 +328,9 @@
     let size = whole(&steps).expect("bytes").len();
     for room in (0..size).step_by(61) {
         let plate = Plate::holding(&[]);
-        let mut journal = Journal::open::<Step>(plate.clone()).expect("it opens").journal;
+        let mut journal = Journal::open::<Step>(plate.clone())
+            .expect("it opens")
+            .journal;
         *plate.left.borrow_mut() = Some(room);
         let taken = steps.iter().take_while(|s| journal.add(*s).is_ok()).count();
         assert!(taken < steps.len());
@@ -257,14 +342,19 @@
     }
     // Neither writing nor cutting works: refused until one of them does.
     let plate = Plate::holding(&[]);
-    let mut journal = Journal::open::<Step>(plate.clone()).expect("it opens").journal;
+    let mut journal = Journal::open::<Step>(plate.clone())
+        .expect("it opens")
+        .journal;
     journal.add(&steps[0]).expect("added");
     *plate.left.borrow_mut() = Some(5);
     assert!(journal.add(&steps[1]).is_err());
     *plate.left.borrow_mut() = None;
     *plate.stuck.borrow_mut() = true;
     assert!(journal.add(&steps[1]).is_err() && journal.compact(&steps[..1]).is_err());
-    assert_eq!(plate.after_loss(3).bytes.borrow().len() as u64, journal.len());
+    assert_eq!(
+        plate.after_loss(3).bytes.borrow().len() as u64,
+        journal.len()
+    );
     *plate.stuck.borrow_mut() = false;
     journal.compact(&steps[..3]).expect("begun anew");
     assert_eq!(read::<Step>(&plate.bytes.borrow()).0, steps[..3]);
@@ -279,14 +369,20 @@
     assert_eq!((anew.running(), rate(&anew)), (v.running(), rate(&v)));
     // A version that is not understood any more is told and never runs; a step that does not follow neither.
     let odd = |text: &str| match &steps[0] {
-        Step::Staged { version } => {
-            Step::Staged { version: crate::versions::Version { text: text.into(), ..version.clone() } }
-        }
+        Step::Staged { version } => Step::Staged {
+            version: crate::versions::Version {
+                text: text.into(),
+                ..version.clone()
+            },
+        },
         _ => unreachable!(),
     };
     let mut told = Vec::new();
-    let v =
-        Versions::recover(Schema::own(), &[odd("<older/>"), steps[1].clone(), steps[4].clone()], &mut told);
+    let v = Versions::recover(
+        Schema::own(),
+        &[odd("<older/>"), steps[1].clone(), steps[4].clone()],
+        &mut told,
+    );
     assert_eq!((v.running(), told.len()), (0, 3), "{told:?}");
 }
 
@@ -350,7 +446,12 @@
 
 // ---- watches ----
 
-const CARE: Care = Care { false_undos: 0.01, harm: 0.01, least: 10.0, longest: 60.0 };
+const CARE: Care = Care {
+    false_undos: 0.01,
+    harm: 0.01,
+    least: 10.0,
+    longest: 60.0,
+};
 
 /// Plays a watch at 500 hits a second: the share spoilt by time and version. Returns how it ended and when.
 fn watched(seed: u64, care: &Care, spoilt: &dyn Fn(f64, bool) -> f64) -> (Next, f64) {
@@ -375,9 +476,14 @@
 
 #[test]
 fn a_harmless_change_is_kept_after_the_least_watch() {
-    let ends: Vec<_> = (0..20).map(|seed| watched(seed, &CARE, &|_, _| 0.01)).collect();
+    let ends: Vec<_> = (0..20)
+        .map(|seed| watched(seed, &CARE, &|_, _| 0.01))
+        .collect();
     assert!(ends.iter().all(|(next, _)| *next == Next::Keep), "{ends:?}");
-    assert!(ends.iter().filter(|(_, when)| *when < 15.0).count() >= 15, "{ends:?}");
+    assert!(
+        ends.iter().filter(|(_, when)| *when < 15.0).count() >= 15,
+        "{ends:?}"
+    );
 }
 
 #[test]
@@ -385,8 +491,17 @@
     let mut times: Vec<f64> = Vec::new();
     for seed in 0..40 {
         let share = [0.08, 0.2, 0.5, 1.0][seed as usize % 4];
-        let (next, when) = watched(seed, &CARE, &|t, old| if t < 0.0 || old { 0.01 } else { share });
-        assert!(matches!(next, Next::Undo { .. }), "{next:?} at {when}, {share}");
+        let (next, when) = watched(seed, &CARE, &|t, old| {
+            if t < 0.0 || old {
+                0.01
+            } else {
+                share
+            }
+        });
+        assert!(
+            matches!(next, Next::Undo { .. }),
+            "{next:?} at {when}, {share}"
+        );
         times.push(when);
     }
     times.sort_by(f64::total_cmp);
@@ -398,10 +513,18 @@
     let days: [&dyn Fn(f64, bool) -> f64; 3] = [
         &|t, _| if (0.5..9.0).contains(&t) { 0.5 } else { 0.01 }, // begins just behind the change
         &|t, _| if t < 4.0 { 0.3 } else { 0.01 },                 // began before it
-        &|t, _| if t > 0.0 && (t * 0.7).sin() > 0.3 { 0.4 } else { 0.02 }, // comes and goes
+        &|t, _| {
+            if t > 0.0 && (t * 0.7).sin() > 0.3 {
+                0.4
+            } else {
+                0.02
+            }
+        }, // comes and goes
     ];
     for (i, day) in days.iter().enumerate() {
-        let undone = (0..60).filter(|s| matches!(watched(*s, &CARE, day).0, Next::Undo { .. })).count();
+        let undone = (0..60)
+            .filter(|s| matches!(watched(*s, &CARE, day).0, Next::Undo { .. }))
+            .count();
         assert_eq!(undone, 0, "day {i}");
     }
 }
@@ -418,7 +541,11 @@
             let now = f64::from(*i) / 500.0;
             let old = watch.takes_old(now, chance.gen());
             let doubtful = watch.side_by_side();
-            sick = if old { (sick - 0.004).max(0.0) } else { (sick + 0.1).min(1.0) };
+            sick = if old {
+                (sick - 0.004).max(0.0)
+            } else {
+                (sick + 0.1).min(1.0)
+            };
             watch.outcome(now, 0, old, doubtful, chance.gen_bool(sick.max(0.01)));
             matches!(watch.look(now), Next::Undo { .. })
         });
@@ -429,7 +556,10 @@
 #[test]
 fn false_undos_stay_within_the_stated_rate() {
     // At the edge of harm, on a day of doubts, at a rate that some hundred watches can tell.
-    let care = Care { false_undos: 0.2, ..CARE };
+    let care = Care {
+        false_undos: 0.2,
+        ..CARE
+    };
     let edge = |t: f64, old: bool| {
         let both = if t > 0.0 { 0.15 } else { 0.02 };
         if old {
@@ -438,6 +568,8 @@
             both + 0.01 * (1.0 - both)
         }
     };
-    let undone = (0..120).filter(|s| matches!(watched(*s, &care, &edge).0, Next::Undo { .. })).count();
+    let undone = (0..120)
+        .filter(|s| matches!(watched(*s, &care, &edge).0, Next::Undo { .. }))
+        .count();
     assert!(undone <= 24, "{undone} of 120");
 }
--- a/crates/operator-config/src/check.rs
+++ b/crates/operator-config/src/check.rs
@@ -64,7 +64,10 @@
             let digits = trimmed.strip_prefix(['+', '-']).unwrap_or(trimmed);
             let known = |c: char| c.is_ascii_digit() || (plain && c == '.');
             let some = digits.contains(|c: char| c.is_ascii_digit()) && digits.chars().all(known);
-            let value = trimmed.parse::<f64>().ok().filter(|v| some && v.is_finite());
+            let value = trimmed
+                .parse::<f64>()
+                .ok()
+                .filter(|v| some && v.is_finite());
             value.filter(|v| {
                 self.least.is_none_or(|l| *v >= l)
                     && self.most.is_none_or(|m| *v <= m)
@@ -81,8 +84,8 @@
             },
             Kind::Text => {
                 let length = text.chars().count();
-                let fits =
-                    self.longest.is_none_or(|l| length <= l) && self.shortest.is_none_or(|s| length >= s);
+                let fits = self.longest.is_none_or(|l| length <= l)
+                    && self.shortest.is_none_or(|s| length >= s);
                 let known = self.words.is_empty() || self.words.iter().any(|w| w == text);
                 (fits && known).then(|| Setting::Text(text.to_owned()))
             }
@@ -122,19 +125,31 @@
 
 impl Walk {
     fn complain(&mut self, at: &Element, place: &str, what: String) {
-        self.complaints.push(Complaint { line: at.line, place: place.to_owned(), what });
+        self.complaints.push(Complaint {
+            line: at.line,
+            place: place.to_owned(),
+            what,
+        });
     }
 
     fn element(&mut self, at: &Element, rule: &Rule, place: &str, name: &str) {
         if !at.text.is_empty() {
             let start: String = at.text.chars().take(20).collect();
-            self.complain(at, place, format!("found the text '{start}', expected none"));
+            self.complain(
+                at,
+                place,
+                format!("found the text '{start}', expected none"),
+            );
         }
         self.attributes(at, rule, place, name);
         for child in &at.children {
             if !rule.children.iter().any(|r| r.name == child.name) {
                 let known: Vec<&str> = rule.children.iter().map(|r| r.name.as_str()).collect();
-                let what = format!("found <{}>, expected {}", child.name, words(&known, "no element"));
+                let what = format!(
+                    "found <{}>, expected {}",
+                    child.name,
+                    words(&known, "no element")
+                );
                 self.complain(child, place, what);
             }
         }
@@ -152,9 +167,17 @@
                     );
                     break;
                 }
-                let own = if r.most > 1 { format!("{}.{i}", r.name) } else { r.name.clone() };
+                let own = if r.most > 1 {
+                    format!("{}.{i}", r.name)
+                } else {
+                    r.name.clone()
+                };
                 let own = own.replace('-', "_");
-                let name = if name.is_empty() { own } else { format!("{name}.{own}") };
+                let name = if name.is_empty() {
+                    own
+                } else {
+                    format!("{name}.{own}")
+                };
                 self.element(child, r, &format!("{place}/{}", r.name), &name);
             }
         }
@@ -166,7 +189,10 @@
             let aside = key == "xmlns" || key.starts_with("xmlns:") || key.starts_with("xsi:");
             if !aside && !rule.attributes.iter().any(|a| a.name == *key) {
                 let known: Vec<&str> = rule.attributes.iter().map(|a| a.name.as_str()).collect();
-                let what = format!("found the attribute {key}, expected {}", words(&known, "none"));
+                let what = format!(
+                    "found the attribute {key}, expected {}",
+                    words(&known, "none")
+                );
                 self.complain(at, place, what);
             }
         }
@@ -175,7 +201,11 @@
             let given = at.attribute(&a.name);
             let Some(text) = given.or(a.default.as_deref()) else {
                 if a.needed {
-                    self.complain(at, place, format!("{}: expected {}", a.name, a.simple.expected()));
+                    self.complain(
+                        at,
+                        place,
+                        format!("{}: expected {}", a.name, a.simple.expected()),
+                    );
                 }
                 continue;
             };
@@ -184,19 +214,29 @@
                     if let Setting::Number(n) = setting {
                         numbers.insert(a.name.as_str(), n);
                     }
-                    self.values.insert(format!("{name}.{}", a.name.replace('-', "_")), setting);
+                    self.values
+                        .insert(format!("{name}.{}", a.name.replace('-', "_")), setting);
                 }
                 Err(expected) => {
                     let start: String = text.chars().take(40).collect();
-                    self.complain(at, place, format!("{}: found '{start}', expected {expected}", a.name));
+                    self.complain(
+                        at,
+                        place,
+                        format!("{}: found '{start}', expected {expected}", a.name),
+                    );
                 }
             }
         }
         for b in &rule.below {
-            let Some((one, other)) = numbers.get(&*b.first).zip(numbers.get(&*b.second)) else { continue };
+            let Some((one, other)) = numbers.get(&*b.first).zip(numbers.get(&*b.second)) else {
+                continue;
+            };
             if !(one < other || (b.or_equal && one == other)) {
                 let than = if b.or_equal { "at most" } else { "less than" };
-                let what = format!("{}: found '{one}', expected {than} {} ({other})", b.first, b.second);
+                let what = format!(
+                    "{}: found '{one}', expected {than} {} ({other})",
+                    b.first, b.second
+                );
                 self.complain(at, place, what);
             }
         }
@@ -214,13 +254,25 @@
 impl Schema {
     /// Checks a file: its values, defaults of the elements that stand in it included, or all that is wrong.
     pub fn check(&self, text: &str) -> Result<Values, Vec<Complaint>> {
-        let bare = |what: String| vec![Complaint { line: 0, place: String::new(), what }];
+        let bare = |what: String| {
+            vec![Complaint {
+                line: 0,
+                place: String::new(),
+                what,
+            }]
+        };
         let file = xml::read(text).map_err(bare)?;
         if file.name != self.root.name {
-            let what = format!("line {}: found <{}>, expected <{}>", file.line, file.name, self.root.name);
+            let what = format!(
+                "line {}: found <{}>, expected <{}>",
+                file.line, file.name, self.root.name
+            );
             return Err(bare(what));
         }
-        let mut walk = Walk { values: Values::new(), complaints: Vec::new() };
+        let mut walk = Walk {
+            values: Values::new(),
+            complaints: Vec::new(),
+        };
         walk.element(&file, &self.root, &self.root.name, "");
         if walk.complaints.is_empty() {
             Ok(walk.values)
--- a/crates/operator-config/src/journal.rs
+++ b/crates/operator-config/src/journal.rs
@@ -49,7 +49,11 @@
 
 impl std::fmt::Display for Damage {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{} bytes from {} on are not believed: {}", self.bytes, self.at, self.what)
+        write!(
+            f,
+            "{} bytes from {} on are not believed: {}",
+            self.bytes, self.at, self.what
+        )
     }
 }
 
@@ -64,7 +68,10 @@
 pub fn frame<T: Serialize>(record: &T) -> Result<Vec<u8>, String> {
     let body = serde_json::to_vec(record).map_err(|e| format!("journal: {e}"))?;
     if body.len() > LONGEST {
-        return Err(format!("journal: found a record of {} bytes, expected {LONGEST} at most", body.len()));
+        return Err(format!(
+            "journal: found a record of {} bytes, expected {LONGEST} at most",
+            body.len()
+        ));
     }
     let length = (body.len() as u32).to_le_bytes();
     Ok([&length[..], &checksum(length, &body)[..], &body[..]].concat())
@@ -85,7 +92,13 @@
     if bytes.is_empty() {
         return (records, 0, None);
     }
-    let damage = |at: usize, what| Some(Damage { at, bytes: bytes.len() - at, what });
+    let damage = |at: usize, what| {
+        Some(Damage {
+            at,
+            bytes: bytes.len() - at,
+            what,
+        })
+    };
     if !bytes.starts_with(HEAD) {
         return (records, 0, damage(0, "it does not begin as a journal does"));
     }
@@ -106,7 +119,11 @@
             return (records, at, damage(at, "a record's checksum does not fit"));
         }
         let Ok(record) = serde_json::from_slice(body) else {
-            return (records, at, damage(at, "a record says what this program does not know"));
+            return (
+                records,
+                at,
+                damage(at, "a record says what this program does not know"),
+            );
         };
         records.push(record);
         at += FRAME + size;
@@ -137,7 +154,11 @@
         let told = |e: io::Error| format!("journal: {e}");
         let bytes = disk.read().map_err(told)?;
         let (records, good, damage) = read::<T>(&bytes);
-        let mut journal = Journal { disk, good: good as u64, spoilt: false };
+        let mut journal = Journal {
+            disk,
+            good: good as u64,
+            spoilt: false,
+        };
         if bytes.is_empty() || damage.is_some() {
             // Anything but a torn end somebody should see.
             if damage.as_ref().is_some_and(|d| !d.is_torn()) {
@@ -147,7 +168,11 @@
             journal.disk.replace(&anew).map_err(told)?;
             journal.good = anew.len() as u64;
         }
-        Ok(Opened { journal, records, damage })
+        Ok(Opened {
+            journal,
+            records,
+            damage,
+        })
     }
 
     /// Adds a record and syncs it. After an error it is not there, now or after a restart.
@@ -162,7 +187,9 @@
             bytes.extend(frame(record)?);
         }
         if self.spoilt {
-            self.disk.cut(self.good).map_err(|e| format!("journal: {e}"))?;
+            self.disk
+                .cut(self.good)
+                .map_err(|e| format!("journal: {e}"))?;
             self.spoilt = false;
         }
         let written = self.disk.append(&bytes).and_then(|()| self.disk.sync());
@@ -178,7 +205,9 @@
     /// Begins anew with these records in place of all that were there.
     pub fn compact<T: Serialize>(&mut self, records: &[T]) -> Result<(), String> {
         let bytes = whole(records)?;
-        self.disk.replace(&bytes).map_err(|e| format!("journal: {e}"))?;
+        self.disk
+            .replace(&bytes)
+            .map_err(|e| format!("journal: {e}"))?;
         (self.good, self.spoilt) = (bytes.len() as u64, false);
         Ok(())
     }
--- a/crates/operator-config/src/schema.rs
+++ b/crates/operator-config/src/schema.rs
@@ -75,14 +75,24 @@
 
 /// A value of one of the schema's own attributes.
 fn of<T: std::str::FromStr>(at: &Element, name: &str) -> Result<T, String> {
-    let value = at.attribute(name).ok_or_else(|| wrong(at, format!("expected {name}")))?;
-    value.parse().map_err(|_| wrong(at, format!("{name}: found '{value}'")))
+    let value = at
+        .attribute(name)
+        .ok_or_else(|| wrong(at, format!("expected {name}")))?;
+    value
+        .parse()
+        .map_err(|_| wrong(at, format!("{name}: found '{value}'")))
 }
 
 fn about(at: &Element) -> String {
-    let texts = at.all("annotation").flat_map(|a| a.all("documentation").map(|d| d.text.clone()));
+    let texts = at
+        .all("annotation")
+        .flat_map(|a| a.all("documentation").map(|d| d.text.clone()));
     let words: Vec<String> = texts.collect();
-    words.join(" ").split_whitespace().collect::<Vec<_>>().join(" ")
+    words
+        .join(" ")
+        .split_whitespace()
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
 fn base(name: &str, at: &Element, types: &Types) -> Result<Simple, String> {
@@ -91,16 +101,36 @@
         "integer" => Kind::Integer,
         "boolean" => Kind::Boolean,
         "string" | "token" => Kind::Text,
-        own => return types.get(own).cloned().ok_or_else(|| wrong(at, format!("unknown type {name}"))),
+        own => {
+            return types
+                .get(own)
+                .cloned()
+                .ok_or_else(|| wrong(at, format!("unknown type {name}")))
+        }
     };
     let (least, most, above, longest, shortest) = (None, None, None, None, None);
-    Ok(Simple { kind, least, most, above, words: Vec::new(), longest, shortest })
+    Ok(Simple {
+        kind,
+        least,
+        most,
+        above,
+        words: Vec::new(),
+        longest,
+        shortest,
+    })
 }
 
 fn simple(at: &Element, types: &Types) -> Result<Simple, String> {
-    let restriction = at.all("restriction").next().ok_or_else(|| wrong(at, "expected a restriction"))?;
+    let restriction = at
+        .all("restriction")
+        .next()
+        .ok_or_else(|| wrong(at, "expected a restriction"))?;
     let mut simple = base(&of::<String>(restriction, "base")?, restriction, types)?;
-    for facet in restriction.children.iter().filter(|c| c.local() != "annotation") {
+    for facet in restriction
+        .children
+        .iter()
+        .filter(|c| c.local() != "annotation")
+    {
         match facet.local() {
             "minInclusive" => simple.least = Some(of(facet, "value")?),
             "maxInclusive" => simple.most = Some(of(facet, "value")?),
@@ -121,10 +151,18 @@
     };
     let default = at.attribute("default").map(str::to_owned);
     if let Some(value) = &default {
-        simple.read(value).map_err(|expected| wrong(at, format!("default: expected {expected}")))?;
+        simple
+            .read(value)
+            .map_err(|expected| wrong(at, format!("default: expected {expected}")))?;
     }
     let needed = at.attribute("use") == Some("required");
-    Ok(Attribute { name: of(at, "name")?, simple, needed, default, about: about(at) })
+    Ok(Attribute {
+        name: of(at, "name")?,
+        simple,
+        needed,
+        default,
+        about: about(at),
+    })
 }
 
 /// `@first lt @second`, as XPath 2 writes it; either may be absent, then the whole holds.
@@ -132,10 +170,19 @@
     let test: String = of(at, "test")?;
     let words: Vec<&str> = test.split_whitespace().collect();
     match words[..] {
-        [first, op @ ("lt" | "le"), second] if first.starts_with('@') && second.starts_with('@') => {
-            Ok(Below { first: first[1..].into(), second: second[1..].into(), or_equal: op == "le" })
+        [first, op @ ("lt" | "le"), second]
+            if first.starts_with('@') && second.starts_with('@') =>
+        {
+            Ok(Below {
+                first: first[1..].into(),
+                second: second[1..].into(),
+                or_equal: op == "le",
+            })
         }
-        _ => Err(wrong(at, format!("test: found '{test}', expected @one lt @other"))),
+        _ => Err(wrong(
+            at,
+            format!("test: found '{test}', expected @one lt @other"),
+        )),
     }
 }
 
@@ -154,7 +201,9 @@
         children: Vec::new(),
         below: Vec::new(),
     };
-    let Some(holds) = at.all("complexType").next() else { return Ok(rule) };
+    let Some(holds) = at.all("complexType").next() else {
+        return Ok(rule);
+    };
     for part in &holds.children {
         match part.local() {
             "all" | "sequence" => {
@@ -194,7 +243,8 @@
     /// The operators' own, as it stands in `deploy/`.
     pub fn own() -> Schema {
         // It is part of the program; a test reads it, so it can be read.
-        Schema::read(include_str!("../../../deploy/magpieline.xsd")).unwrap_or_else(|e| unreachable!("{e}"))
+        Schema::read(include_str!("../../../deploy/magpieline.xsd"))
+            .unwrap_or_else(|e| unreachable!("{e}"))
     }
 
     /// What an element or attribute is for, by its dotted name (`verdict.bad_carried`), with what it may be.
@@ -211,7 +261,11 @@
                     (None, true) => "; has to be given".into(),
                     (None, false) => String::new(),
                 };
-                return Some(format!("{} Expected: {}{default}.", a.about, a.simple.expected()));
+                return Some(format!(
+                    "{} Expected: {}{default}.",
+                    a.about,
+                    a.simple.expected()
+                ));
             }
         }
         let names = rule
--- a/crates/operator-config/src/tests.rs
+++ b/crates/operator-config/src/tests.rs
@@ -18,7 +18,10 @@
 fn fitting(simple: &crate::schema::Simple, x: f64) -> String {
     match simple.kind {
         Kind::Decimal | Kind::Integer => {
-            let least = simple.least.or(simple.above.map(|a| a + 0.001)).unwrap_or(-1000.0);
+            let least = simple
+                .least
+                .or(simple.above.map(|a| a + 0.001))
+                .unwrap_or(-1000.0);
             let most = simple.most.unwrap_or(least + 1000.0);
             let value = least + x * (most - least);
             if simple.kind == Kind::Integer {
@@ -28,9 +31,9 @@
             }
         }
         Kind::Boolean => ["true", "false"][usize::from(x < 0.5)].into(),
-        Kind::Text if !simple.words.is_empty() => {
-            simple.words[((x * simple.words.len() as f64) as usize).min(simple.words.len() - 1)].clone()
-        }
+        Kind::Text if !simple.words.is_empty() => simple.words
+            [((x * simple.words.len() as f64) as usize).min(simple.words.len() - 1)]
+        .clone(),
         Kind::Text => "x".repeat(simple.shortest.unwrap_or(1).max(1)),
     }
 }
@@ -39,7 +42,11 @@
 fn good(rule: &Rule, chance: &mut dyn FnMut() -> f64) -> String {
     let mut text = format!("<{}", rule.name);
     // Attributes that have to lie below one another are left to their defaults.
-    let tied = |name: &str| rule.below.iter().any(|b| b.first == name || b.second == name);
+    let tied = |name: &str| {
+        rule.below
+            .iter()
+            .any(|b| b.first == name || b.second == name)
+    };
     for a in &rule.attributes {
         if (a.needed || chance() < 0.5) && !tied(&a.name) {
             text += &format!(" {}=\"{}\"", a.name, fitting(&a.simple, chance()));
@@ -47,7 +54,11 @@
     }
     text.push('>');
     for child in &rule.children {
-        let count = if child.needed { 1 } else { usize::from(chance() < 0.7) };
+        let count = if child.needed {
+            1
+        } else {
+            usize::from(chance() < 0.7)
+        };
         (0..count.min(child.most)).for_each(|_| text += &good(child, chance));
     }
     text + &format!("</{}>", rule.name)
@@ -120,7 +131,10 @@
         ]
     );
     let tied = wrong("<magpieline><verdict good-slower='1.9'/></magpieline>");
-    assert_eq!(tied[0].what, "good-slower: found '1.9', expected less than bad-slower (1.7)");
+    assert_eq!(
+        tied[0].what,
+        "good-slower: found '1.9', expected less than bad-slower (1.7)"
+    );
     let again = wrong("<magpieline><verdict/><verdict/></magpieline>");
     assert_eq!(again[0].what, "found <verdict> again, expected 1 at most");
     assert!(wrong("<other/>")[0].what.contains("expected <magpieline>"));
@@ -129,13 +143,24 @@
 #[test]
 fn nothing_is_expanded_and_nothing_grows_without_bound() {
     let entity = "<!DOCTYPE magpieline [<!ENTITY a \"aaaa\">]>\n<magpieline>&a;</magpieline>";
-    assert_eq!(wrong(entity)[0].what, "line 1: found a document type, expected none");
-    assert!(wrong("<magpieline>&a;</magpieline>")[0].what.contains("found &a;"));
+    assert_eq!(
+        wrong(entity)[0].what,
+        "line 1: found a document type, expected none"
+    );
+    assert!(wrong("<magpieline>&a;</magpieline>")[0]
+        .what
+        .contains("found &a;"));
     let deep = "<a>".repeat(20);
     assert!(wrong(&deep)[0].what.contains("more than 16 elements"));
-    assert!(wrong(&" ".repeat(xml::LONGEST + 1))[0].what.contains("bytes, expected"));
-    let read = xml::read("<a b='&lt;&#65;'>x &amp; y<![CDATA[<z>]]></a>").expect("XML's own entities");
-    assert_eq!((read.attribute("b"), read.text.as_str()), (Some("<A"), "x & y<z>"));
+    assert!(wrong(&" ".repeat(xml::LONGEST + 1))[0]
+        .what
+        .contains("bytes, expected"));
+    let read =
+        xml::read("<a b='&lt;&#65;'>x &amp; y<![CDATA[<z>]]></a>").expect("XML's own entities");
+    assert_eq!(
+        (read.attribute("b"), read.text.as_str()),
+        (Some("<A"), "x & y<z>")
+    );
 }
 
 #[test]
@@ -145,15 +170,22 @@
         for a in &rule.attributes {
             assert!(!a.about.is_empty(), "{path}.{}", a.name);
         }
-        rule.children.iter().for_each(|c| walk(c, &format!("{path}.{}", c.name)));
+        rule.children
+            .iter()
+            .for_each(|c| walk(c, &format!("{path}.{}", c.name)));
     }
     walk(&own().root, "");
     let told = own().explain("verdict.bad_carried").expect("an attribute");
     assert!(
-        told.ends_with("Expected: a number, 0.000001 or more, 0.5 or less; 0.05 if it is not given."),
+        told.ends_with(
+            "Expected: a number, 0.000001 or more, 0.5 or less; 0.05 if it is not given."
+        ),
         "{told}"
     );
-    assert!(own().explain("verdict").expect("an element").contains("Holds: good-sent-back, bad-carried"));
+    assert!(own()
+        .explain("verdict")
+        .expect("an element")
+        .contains("Holds: good-sent-back, bad-carried"));
     assert_eq!(own().explain("verdict.nothing"), None);
 }
 
@@ -161,7 +193,9 @@
 fn lists_are_numbered_and_a_schema_that_says_more_is_refused() {
     let schema = |inner: &str| {
         let top = "<xs:schema xmlns:xs='x'><xs:element name='top'><xs:complexType>";
-        Schema::read(&format!("{top}{inner}</xs:complexType></xs:element></xs:schema>"))
+        Schema::read(&format!(
+            "{top}{inner}</xs:complexType></xs:element></xs:schema>"
+        ))
     };
     let many = schema(
         "<xs:sequence><xs:element name='a-row' minOccurs='0' maxOccurs='2'><xs:complexType>
@@ -169,14 +203,18 @@
          </xs:complexType></xs:element></xs:sequence>",
     )
     .expect("a schema");
-    let values = many.check("<top><a-row n='3' on='1'/><a-row n=' -4 '/></top>").expect("good");
+    let values = many
+        .check("<top><a-row n='3' on='1'/><a-row n=' -4 '/></top>")
+        .expect("good");
     assert_eq!(values["a_row.0.n"], Setting::Number(3.0));
     assert_eq!(values["a_row.0.on"], Setting::Flag(true));
     assert_eq!(values["a_row.1.n"], Setting::Number(-4.0));
     assert!(many.check("<top><a-row n='3.5'/></top>").is_err());
     let missing = many.check("<top><a-row/></top>").expect_err("needed");
     assert_eq!(missing[0].what, "n: expected a whole number");
-    assert!(many.check(&format!("<top>{}</top>", "<a-row n='1'/>".repeat(3))).is_err());
+    assert!(many
+        .check(&format!("<top>{}</top>", "<a-row n='1'/>".repeat(3)))
+        .is_err());
     for odd in [
         "<xs:choice/>",
         "<xs:attribute name='a' type='xs:date'/>",
--- a/crates/operator-config/src/versions.rs
+++ b/crates/operator-config/src/versions.rs
@@ -100,7 +100,10 @@
             Refusal::Wrong(all) => f.write_str(&all.join("\n")),
             Refusal::Watched(n) => write!(f, "version {n} is being watched: keep or undo it first"),
             Refusal::Stale { number, base, runs } => {
-                write!(f, "version {number} was staged against {base}, {runs} runs now: stage it anew")
+                write!(
+                    f,
+                    "version {number} was staged against {base}, {runs} runs now: stage it anew"
+                )
             }
             Refusal::Stands { number, standing } => write!(f, "version {number} is {standing:?}"),
             Refusal::Nothing(what) => f.write_str(what),
@@ -129,7 +132,10 @@
 pub const NONE: u64 = 0;
 
 pub fn hash(text: &str) -> String {
-    Sha256::digest(text.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
+    Sha256::digest(text.as_bytes())
+        .iter()
+        .map(|b| format!("{b:02x}"))
+        .collect()
 }
 
 impl Versions {
@@ -137,9 +143,28 @@
     pub fn new(schema: Schema) -> Versions {
         let text = format!("<{}/>", schema.root.name);
         let (who, why) = ("nobody".into(), "no file".into());
-        let version = Version { number: NONE, hash: hash(&text), text, who, why, at: 0.0, base: NONE };
-        let first = Held { version, standing: Standing::Kept, values: Values::new(), hits: 0 };
-        Versions { schema, held: [(NONE, first)].into(), running: NONE, kept: NONE, next: 1 }
+        let version = Version {
+            number: NONE,
+            hash: hash(&text),
+            text,
+            who,
+            why,
+            at: 0.0,
+            base: NONE,
+        };
+        let first = Held {
+            version,
+            standing: Standing::Kept,
+            values: Values::new(),
+            hits: 0,
+        };
+        Versions {
+            schema,
+            held: [(NONE, first)].into(),
+            running: NONE,
+            kept: NONE,
+            next: 1,
+        }
     }
 
     /// What the steps come to, after a restart: the last kept version runs; one that was still being watched is
@@ -151,7 +176,9 @@
         }
         if versions.running != versions.kept {
             let number = versions.running;
-            told.push(format!("version {number} was still being watched: undone by the restart"));
+            told.push(format!(
+                "version {number} was still being watched: undone by the restart"
+            ));
             versions.stand(number, Standing::Undone);
             versions.running = versions.kept;
         }
@@ -175,7 +202,9 @@
             Step::Snapshot { versions, kept } => {
                 self.held.retain(|n, _| *n == NONE);
                 for (version, standing) in versions {
-                    let Some(values) = known(&self.schema, version) else { continue };
+                    let Some(values) = known(&self.schema, version) else {
+                        continue;
+                    };
                     self.insert(version.clone(), standing.clone(), values);
                 }
                 (self.running, self.kept) = (NONE, NONE);
@@ -203,7 +232,15 @@
 
     fn insert(&mut self, version: Version, standing: Standing, values: Values) {
         self.next = self.next.max(version.number + 1);
-        self.held.insert(version.number, Held { version, standing, values, hits: 0 });
+        self.held.insert(
+            version.number,
+            Held {
+                version,
+                standing,
+                values,
+                hits: 0,
+            },
+        );
     }
 
     fn stand(&mut self, number: u64, standing: Standing) {
@@ -215,18 +252,35 @@
     // What may be done. Each gives the step to write.
 
     /// Stages a file. The same text again, while it is staged or runs, is the version that it was.
-    pub fn stage(&self, text: &str, who: &str, why: &str, at: f64) -> Result<Result<Step, u64>, Refusal> {
+    pub fn stage(
+        &self,
+        text: &str,
+        who: &str,
+        why: &str,
+        at: f64,
+    ) -> Result<Result<Step, u64>, Refusal> {
         let (own, base) = (hash(text), self.running);
-        let same = |h: &&Held| h.version.hash == own && (h.version.base == base || h.version.number == base);
+        let same = |h: &&Held| {
+            h.version.hash == own && (h.version.base == base || h.version.number == base)
+        };
         let stands = |h: &&Held| h.standing == Standing::Staged || h.version.number == base;
         if let Some(held) = self.held.values().filter(stands).find(same) {
             return Ok(Err(held.version.number));
         }
-        let wrong =
-            |all: Vec<crate::check::Complaint>| Refusal::Wrong(all.iter().map(ToString::to_string).collect());
+        let wrong = |all: Vec<crate::check::Complaint>| {
+            Refusal::Wrong(all.iter().map(ToString::to_string).collect())
+        };
         self.schema.check(text).map_err(wrong)?;
         let (who, why) = (who.to_owned(), why.to_owned());
-        let version = Version { number: self.next, hash: own, text: text.to_owned(), who, why, at, base };
+        let version = Version {
+            number: self.next,
+            hash: own,
+            text: text.to_owned(),
+            who,
+            why,
+            at,
+            base,
+        };
         Ok(Ok(Step::Staged { version }))
     }
 
@@ -237,12 +291,23 @@
             return Err(Refusal::Watched(self.running));
         }
         if held.standing != Standing::Staged {
-            return Err(Refusal::Stands { number, standing: held.standing.clone() });
+            return Err(Refusal::Stands {
+                number,
+                standing: held.standing.clone(),
+            });
         }
         if held.version.base != self.running {
-            return Err(Refusal::Stale { number, base: held.version.base, runs: self.running });
+            return Err(Refusal::Stale {
+                number,
+                base: held.version.base,
+                runs: self.running,
+            });
         }
-        Ok(Step::Applied { number, at, who: who.to_owned() })
+        Ok(Step::Applied {
+            number,
+            at,
+            who: who.to_owned(),
+        })
     }
 
     /// Keeps the version that is being watched.
@@ -250,7 +315,11 @@
         if self.running == self.kept {
             return Err(Refusal::Nothing("nothing is being watched"));
         }
-        Ok(Step::Kept { number: self.running, at, why: why.to_owned() })
+        Ok(Step::Kept {
+            number: self.running,
+            at,
+            why: why.to_owned(),
+        })
     }
 
     /// Undoes the version that is being watched, as a whole. For one that is kept: stage what ran before it anew.
@@ -260,7 +329,12 @@
                 "nothing is being watched; to go back further stage that file anew",
             ));
         }
-        Ok(Step::Undone { number: self.running, at, who: who.to_owned(), why: why.to_owned() })
+        Ok(Step::Undone {
+            number: self.running,
+            at,
+            who: who.to_owned(),
+            why: why.to_owned(),
+        })
     }
 
     /// A step has been written: it holds from here on, for hits that are taken later. A step that does not
@@ -269,7 +343,11 @@
         match step {
             Step::Staged { version } => {
                 let wrong = |all: Vec<_>| {
-                    Refusal::Wrong(all.iter().map(|c: &crate::check::Complaint| c.to_string()).collect())
+                    Refusal::Wrong(
+                        all.iter()
+                            .map(|c: &crate::check::Complaint| c.to_string())
+                            .collect(),
+                    )
                 };
                 let values = self.schema.check(&version.text).map_err(wrong)?;
                 self.insert(version.clone(), Standing::Staged, values);
@@ -290,9 +368,11 @@
             }
             Step::Kept { number, .. } | Step::Undone { number, .. } => {
                 let standing = self.held.get(number).map(|h| h.standing.clone());
-                return Err(standing.map_or(Refusal::Unknown(*number), |standing| Refusal::Stands {
-                    number: *number,
-                    standing,
+                return Err(standing.map_or(Refusal::Unknown(*number), |standing| {
+                    Refusal::Stands {
+                        number: *number,
+                        standing,
+                    }
                 }));
             }
             Step::Snapshot { .. } => return Err(Refusal::Nothing("a snapshot is no step")),
@@ -304,8 +384,13 @@
     /// What a journal that begins anew has to hold.
     pub fn snapshot(&self) -> Step {
         let all = self.held.values().filter(|h| h.version.number != NONE);
-        let versions = all.map(|h| (h.version.clone(), h.standing.clone())).collect();
-        Step::Snapshot { versions, kept: self.kept }
+        let versions = all
+            .map(|h| (h.version.clone(), h.standing.clone()))
+            .collect();
+        Step::Snapshot {
+            versions,
+            kept: self.kept,
+        }
     }
 
     /// Old versions that nothing needs go: neither running nor kept nor pinned by a hit.
@@ -316,7 +401,12 @@
             h.hits == 0 && n != running && n != kept && n != NONE
         };
         let mut over = self.held.len().saturating_sub(REMEMBERED);
-        let gone: Vec<u64> = self.held.values().filter(|h| idle(h)).map(|h| h.version.number).collect();
+        let gone: Vec<u64> = self
+            .held
+            .values()
+            .filter(|h| idle(h))
+            .map(|h| h.version.number)
+            .collect();
         for number in gone {
             if over == 0 {
                 break;
@@ -338,7 +428,9 @@
     /// It has its final answer. Returns whether that was the last hit of a version that runs no more.
     pub fn unpin(&mut self, number: u64) -> bool {
         let (running, kept) = (self.running, self.kept);
-        let Some(held) = self.held.get_mut(&number) else { return false };
+        let Some(held) = self.held.get_mut(&number) else {
+            return false;
+        };
         held.hits = held.hits.saturating_sub(1);
         held.hits == 0 && number != running && number != kept
     }
@@ -360,6 +452,8 @@
 
     /// All that is remembered, oldest first, with how it stands and how many hits are pinned to it.
     pub fn all(&self) -> impl Iterator<Item = (&Version, &Standing, u64)> {
-        self.held.values().map(|h| (&h.version, &h.standing, h.hits))
+        self.held
+            .values()
+            .map(|h| (&h.version, &h.standing, h.hits))
     }
 }
--- a/crates/operator-config/src/watch.rs
+++ b/crates/operator-config/src/watch.rs
@@ -88,7 +88,11 @@
     fn at(&self, now: f64) -> Option<(usize, bool)> {
         let (began, old_first) = self.pair.filter(|(began, _)| now < began + 2.0 * WINDOW)?;
         let within = now - began;
-        let side = if (within < WINDOW) == old_first { OLD } else { NEW };
+        let side = if (within < WINDOW) == old_first {
+            OLD
+        } else {
+            NEW
+        };
         Some((side, within.rem_euclid(WINDOW) >= SETTLES))
     }
 
@@ -106,7 +110,14 @@
         if self.pair.take().is_some() && old.n >= HITS && new.n >= HITS {
             // Worse by no more than what does no harm is no win.
             let better = new.share() > old.share() + self.harm * (1.0 - old.share());
-            self.wealth.settle(|i| if better { 1.0 + STAKES[i] } else { 1.0 - STAKES[i] }.ln());
+            self.wealth.settle(|i| {
+                if better {
+                    1.0 + STAKES[i]
+                } else {
+                    1.0 - STAKES[i]
+                }
+                .ln()
+            });
         }
     }
 }
@@ -133,7 +144,9 @@
 
 impl Usual {
     pub fn new(groups: usize) -> Usual {
-        Usual { groups: vec![None; groups] }
+        Usual {
+            groups: vec![None; groups],
+        }
     }
     /// A hit has its final answer: spoilt if it errored, was bounced or came late.
     pub fn outcome(&mut self, group: usize, spoilt: bool) {
@@ -156,12 +169,32 @@
             wealth: Wealth::new(&bets),
             seen: Sides::default(),
         };
-        let parts = usual.groups.iter().copied().chain([Some(mean)]).map(part).collect();
+        let parts = usual
+            .groups
+            .iter()
+            .copied()
+            .chain([Some(mean)])
+            .map(part)
+            .collect();
         let (began, block_ends) = (now, now + BLOCK);
-        let windows =
-            Windows { wealth: Wealth::of(STAKES.len()), harm: care.harm, pair: None, seen: Sides::default() };
+        let windows = Windows {
+            wealth: Wealth::of(STAKES.len()),
+            harm: care.harm,
+            pair: None,
+            seen: Sides::default(),
+        };
         let (doubt_until, doubted) = (now, None);
-        Watch { care, began, now, block_ends, doubt_until, bets, parts, doubted, windows }
+        Watch {
+            care,
+            began,
+            now,
+            block_ends,
+            doubt_until,
+            bets,
+            parts,
+            doubted,
+            windows,
+        }
     }
 
     /// Whether a hit taken now goes under the version before, by a draw from 0 to 1.
@@ -181,7 +214,10 @@
 
     /// Whether a hit taken now goes by a coin of its own.
     pub fn side_by_side(&self) -> bool {
-        self.doubts() && self.doubted.is_none_or(|since| self.now < since + SIDE_BY_SIDE)
+        self.doubts()
+            && self
+                .doubted
+                .is_none_or(|since| self.now < since + SIDE_BY_SIDE)
     }
 
     /// Whether there is a doubt just now.
@@ -227,10 +263,16 @@
             return Next::Undo { group: None };
         }
         let needed = self.needed();
-        let worst = self.parts.iter().enumerate().max_by(|a, b| a.1.wealth.log.total_cmp(&b.1.wealth.log));
+        let worst = self
+            .parts
+            .iter()
+            .enumerate()
+            .max_by(|a, b| a.1.wealth.log.total_cmp(&b.1.wealth.log));
         if let Some((i, part)) = worst.filter(|(_, p)| p.wealth.log >= needed) {
             debug_assert!(part.seen[NEW].marked > 0.0);
-            return Next::Undo { group: (i < last).then_some(i) };
+            return Next::Undo {
+                group: (i < last).then_some(i),
+            };
         }
         let lasted = self.now - self.began;
         // In doubt it goes on, up to the longest watch.
@@ -246,7 +288,11 @@
     pub fn account(&self) -> (f64, [(f64, f64); 2]) {
         let needed = self.needed();
         let windows = self.windows.wealth.log / -(0.5 * self.care.false_undos).ln();
-        let most = self.parts.iter().map(|p| p.wealth.log).fold(f64::NEG_INFINITY, f64::max);
+        let most = self
+            .parts
+            .iter()
+            .map(|p| p.wealth.log)
+            .fold(f64::NEG_INFINITY, f64::max);
         let seen = self.parts.last().map(|p| p.seen).unwrap_or_default();
         ((most / needed).max(windows), seen.map(|t| (t.n, t.marked)))
     }
