--- a/crates/operator-config/src/xml.rs
+++ b/crates/operator-config/src/xml.rs
@@ -22,7 +22,10 @@
 
 impl Element {
     pub fn attribute(&self, name: &str) -> Option<&str> {
-        self.attributes.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.attributes
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
     /// Children of a name, its prefix left aside.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Element> {
@@ -43,13 +46,22 @@
         attributes.push((attribute.key.as_ref().to_owned(), value.into_owned()));
     }
     let name = tag.name().as_ref().to_owned();
-    Ok(Element { name, line, attributes, children: Vec::new(), text: String::new() })
+    Ok(Element {
+        name,
+        line,
+        attributes,
+        children: Vec::new(),
+        text: String::new(),
+    })
 }
 
 /// Reads a text; an error names the line and what was expected.
 pub fn read(text: &str) -> Result<Element, String> {
     if text.len() > LONGEST {
-        return Err(format!("found {} bytes, expected {LONGEST} at most", text.len()));
+        return Err(format!(
+            "found {} bytes, expected {LONGEST} at most",
+            text.len()
+        ));
     }
     let mut reader = Reader::from_str(text);
     let (mut open, mut root): (Vec<Element>, Option<Element>) = (Vec::new(), None);
@@ -63,7 +75,10 @@
             Ok(event) => event,
             Err(e) => {
                 let at = (reader.error_position() as usize).min(text.len());
-                let line = 1 + text.as_bytes()[..at].iter().filter(|b| **b == b'\n').count();
+                let line = 1 + text.as_bytes()[..at]
+                    .iter()
+                    .filter(|b| **b == b'\n')
+                    .count();
                 return Err(format!("line {line}: expected XML: {e}"));
             }
         };
@@ -93,14 +108,23 @@
             Event::GeneralRef(reference) => {
                 let name = reference.clone().into_inner();
                 let text = quick_xml::escape::unescape(&format!("&{name};"))
-                    .map_err(|_| format!("line {began}: found &{name};, expected one of XML's own entities"))?
+                    .map_err(|_| {
+                        format!("line {began}: found &{name};, expected one of XML's own entities")
+                    })?
                     .into_owned();
                 add(&mut open, &text, began)?;
                 None
             }
-            Event::DocType(_) => return Err(format!("line {began}: found a document type, expected none")),
+            Event::DocType(_) => {
+                return Err(format!(
+                    "line {began}: found a document type, expected none"
+                ))
+            }
             Event::Eof if !open.is_empty() => {
-                return Err(format!("line {line}: expected the end of <{}>", open[open.len() - 1].name));
+                return Err(format!(
+                    "line {line}: expected the end of <{}>",
+                    open[open.len() - 1].name
+                ));
             }
             Event::Eof => return root.ok_or_else(|| format!("line {line}: expected an element")),
             Event::Comment(_) | Event::Decl(_) | Event::PI(_) => None,
@@ -109,7 +133,9 @@
         done.text = done.text.trim().to_owned();
         match open.last_mut() {
             Some(parent) => parent.children.push(done),
-            None if root.is_some() => return Err(format!("line {began}: found a second element at the top")),
+            None if root.is_some() => {
+                return Err(format!("line {began}: found a second element at the top"))
+            }
             None => root = Some(done),
         }
     }
--- a/crates/raft-store/src/lib.rs
+++ b/crates/raft-store/src/lib.rs
@@ -80,8 +80,18 @@
 }
 
 impl Flaw {
-    const fn of(place: &'static str, key: u64, found: &'static str, expected: &'static str) -> Flaw {
-        Flaw { place, key, found, expected }
+    const fn of(
+        place: &'static str,
+        key: u64,
+        found: &'static str,
+        expected: &'static str,
+    ) -> Flaw {
+        Flaw {
+            place,
+            key,
+            found,
+            expected,
+        }
     }
 }
 
@@ -93,11 +103,19 @@
         match self {
             Error::Full => write!(f, "the disk has no room"),
             Error::Io(kind) => write!(f, "the disk refused: {kind}"),
-            Error::Corrupt(Flaw { place, key, found, expected }) => {
+            Error::Corrupt(Flaw {
+                place,
+                key,
+                found,
+                expected,
+            }) => {
                 write!(f, "{place} {key}: found {found}, expected {expected}")
             }
             Error::Newer { found, expected } => {
-                write!(f, "{FILE}: found format {found}, expected at most {expected}")
+                write!(
+                    f,
+                    "{FILE}: found format {found}, expected at most {expected}"
+                )
             }
             Error::InUse => write!(f, "another process has it open"),
         }
@@ -107,9 +125,9 @@
 impl From<io::Error> for Error {
     fn from(error: io::Error) -> Error {
         match error.kind() {
-            io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
-                Error::Full
-            }
+            io::ErrorKind::StorageFull
+            | io::ErrorKind::QuotaExceeded
+            | io::ErrorKind::FileTooLarge => Error::Full,
             io::ErrorKind::InvalidData => Error::Corrupt(PAGES),
             io::ErrorKind::UnexpectedEof => Error::Corrupt(LENGTH),
             kind => Error::Io(kind),
@@ -246,7 +264,10 @@
         drop(database);
         Ok(())
     });
-    Ok(Some(Inspection { stored: stored?, file_bytes }))
+    Ok(Some(Inspection {
+        stored: stored?,
+        file_bytes,
+    }))
 }
 
 /// Whether a process has the store in `dir` open. The lock that tells is let go at once.
@@ -285,24 +306,39 @@
             let number = with_sum(u64::from(FORMAT), WRITTEN.to_le_bytes().to_vec());
             heads.insert(FORMAT, &number[..]).map_err(Error::of)?;
         }
-        heads.insert(HARD, &seal(u64::from(HARD), &batch.hard)[..]).map_err(Error::of)?;
+        heads
+            .insert(HARD, &seal(u64::from(HARD), &batch.hard)[..])
+            .map_err(Error::of)?;
         if let Some(snapshot) = &batch.snapshot {
-            let (index, term, length) = (snapshot.index, snapshot.term, snapshot.state.len() as u64);
-            let head = Head { index, term, members: snapshot.members.clone(), length };
-            heads.insert(SNAPSHOT, &seal(u64::from(SNAPSHOT), &head)[..]).map_err(Error::of)?;
+            let (index, term, length) =
+                (snapshot.index, snapshot.term, snapshot.state.len() as u64);
+            let head = Head {
+                index,
+                term,
+                members: snapshot.members.clone(),
+                length,
+            };
+            heads
+                .insert(SNAPSHOT, &seal(u64::from(SNAPSHOT), &head)[..])
+                .map_err(Error::of)?;
             let mut state = transaction.open_table(STATE).map_err(Error::of)?;
             let mut pieces = 0;
             for piece in snapshot.state.chunks(PIECE) {
-                state.insert(pieces, &with_sum(pieces, piece.to_vec())[..]).map_err(Error::of)?;
+                state
+                    .insert(pieces, &with_sum(pieces, piece.to_vec())[..])
+                    .map_err(Error::of)?;
                 pieces += 1;
             }
             state.retain_in(pieces.., |_, _| false).map_err(Error::of)?;
         }
         let mut log = transaction.open_table(LOG).map_err(Error::of)?;
-        log.retain_in(..=batch.drop_to, |_, _| false).map_err(Error::of)?;
-        log.retain_in(batch.cut_from.., |_, _| false).map_err(Error::of)?;
+        log.retain_in(..=batch.drop_to, |_, _| false)
+            .map_err(Error::of)?;
+        log.retain_in(batch.cut_from.., |_, _| false)
+            .map_err(Error::of)?;
         for entry in &batch.entries {
-            log.insert(entry.index, &seal(entry.index, entry)[..]).map_err(Error::of)?;
+            log.insert(entry.index, &seal(entry.index, entry)[..])
+                .map_err(Error::of)?;
         }
     }
     transaction.commit().map_err(Error::of)?;
@@ -326,11 +362,15 @@
         }
     };
     if format > WRITTEN {
-        return Err(Error::Newer { found: format, expected: WRITTEN });
+        return Err(Error::Newer {
+            found: format,
+            expected: WRITTEN,
+        });
     }
     let log = transaction.open_table(LOG).map_err(Error::of)?;
-    let hard =
-        head(HARD)?.map(|value| unseal::<Hard>("heads", u64::from(HARD), value.value())).transpose()?;
+    let hard = head(HARD)?
+        .map(|value| unseal::<Hard>("heads", u64::from(HARD), value.value()))
+        .transpose()?;
     let mut snapshot = None;
     if let Some(value) = head(SNAPSHOT)? {
         let head: Head = unseal("heads", u64::from(SNAPSHOT), value.value())?;
@@ -341,32 +381,60 @@
             state.extend_from_slice(without_sum("state", key.value(), value.value())?);
         }
         if state.len() as u64 != head.length {
-            let flaw = Flaw::of("state", state.len() as u64, "another length", "the snapshot's");
+            let flaw = Flaw::of(
+                "state",
+                state.len() as u64,
+                "another length",
+                "the snapshot's",
+            );
             return Err(Error::Corrupt(flaw));
         }
-        snapshot =
-            Some(Arc::new(Snapshot { index: head.index, term: head.term, members: head.members, state }));
+        snapshot = Some(Arc::new(Snapshot {
+            index: head.index,
+            term: head.term,
+            members: head.members,
+            state,
+        }));
     }
     let mut entries: Vec<Entry> = Vec::new();
     for row in log.iter().map_err(Error::of)? {
         let (key, value) = row.map_err(Error::of)?;
         entries.push(unseal("log", key.value(), value.value())?);
     }
-    let stored = Stored { hard, snapshot, entries };
+    let stored = Stored {
+        hard,
+        snapshot,
+        entries,
+    };
     check_whole(&stored)?;
     Ok(stored)
 }
 
 /// No gap in the log, none between snapshot and log, and a hard state if there is anything.
 fn check_whole(stored: &Stored) -> Result<(), Error> {
-    let covered = stored.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-    let first = stored.entries.first().map_or(covered + 1, |entry| entry.index);
+    let covered = stored
+        .snapshot
+        .as_ref()
+        .map_or(0, |snapshot| snapshot.index);
+    let first = stored
+        .entries
+        .first()
+        .map_or(covered + 1, |entry| entry.index);
     let last = first + stored.entries.len() as u64 - 1;
-    let gap = stored.entries.iter().zip(first..).find(|(entry, index)| entry.index != *index);
+    let gap = stored
+        .entries
+        .iter()
+        .zip(first..)
+        .find(|(entry, index)| entry.index != *index);
     let flaw = if let Some((_, index)) = gap {
         Flaw::of("log", index, "a gap", "an entry after the other")
     } else if first > covered + 1 {
-        Flaw::of("log", first, "a gap before it", "one that follows the snapshot")
+        Flaw::of(
+            "log",
+            first,
+            "a gap before it",
+            "one that follows the snapshot",
+        )
     } else if last < covered {
         Flaw::of("log", last, "its end", "one not before the snapshot's")
     } else if stored.hard.is_none() && last > 0 {
@@ -378,14 +446,27 @@
 }
 
 fn seal(key: u64, value: &impl Serialize) -> Vec<u8> {
-    with_sum(key, postcard::to_stdvec(value).expect("plain values can be written"))
+    with_sum(
+        key,
+        postcard::to_stdvec(value).expect("plain values can be written"),
+    )
 }
 
 fn unseal<T: DeserializeOwned>(place: &'static str, key: u64, bytes: &[u8]) -> Result<T, Error> {
     match postcard::take_from_bytes(without_sum(place, key, bytes)?) {
         Ok((value, [])) => Ok(value),
-        Ok(_) => Err(Error::Corrupt(Flaw::of(place, key, "bytes after the value's end", "its end"))),
-        Err(_) => Err(Error::Corrupt(Flaw::of(place, key, "bytes that are no value of its kind", "one"))),
+        Ok(_) => Err(Error::Corrupt(Flaw::of(
+            place,
+            key,
+            "bytes after the value's end",
+            "its end",
+        ))),
+        Err(_) => Err(Error::Corrupt(Flaw::of(
+            place,
+            key,
+            "bytes that are no value of its kind",
+            "one",
+        ))),
     }
 }
 
@@ -399,7 +480,12 @@
 fn without_sum<'a>(place: &'static str, key: u64, bytes: &'a [u8]) -> Result<&'a [u8], Error> {
     match bytes.split_last_chunk::<4>() {
         Some((value, last)) if *last == sum(key, value) => Ok(value),
-        _ => Err(Error::Corrupt(Flaw::of(place, key, "another checksum", "the value's"))),
+        _ => Err(Error::Corrupt(Flaw::of(
+            place,
+            key,
+            "another checksum",
+            "the value's",
+        ))),
     }
 }
 
--- a/crates/raft-store/tests/directory.rs
+++ b/crates/raft-store/tests/directory.rs
@@ -24,8 +24,19 @@
 }
 
 fn batch(term: u64) -> Batch {
-    let hard = Hard { life: 7, term, vote: None, commit: 0 };
-    Batch { hard, snapshot: None, drop_to: 0, cut_from: 1, entries: Vec::new() }
+    let hard = Hard {
+        life: 7,
+        term,
+        vote: None,
+        commit: 0,
+    };
+    Batch {
+        hard,
+        snapshot: None,
+        drop_to: 0,
+        cut_from: 1,
+        entries: Vec::new(),
+    }
 }
 
 /// Guards the first start and the next: empty, then what was written; a half-made store in the way does no harm; a look
@@ -41,7 +52,10 @@
     let found = inspect(&folder.0).unwrap().unwrap();
     assert_eq!(found.stored.hard, Some(batch(3).hard));
     drop(granary);
-    assert_eq!(Granary::open(&folder.0).unwrap().load().unwrap().hard, Some(batch(3).hard));
+    assert_eq!(
+        Granary::open(&folder.0).unwrap().load().unwrap().hard,
+        Some(batch(3).hard)
+    );
 }
 
 /// Guards the choice that only the owner may make: a spoilt store is reported each time, until it is given up.
@@ -61,8 +75,14 @@
     assert_eq!(is_aside(&shelf), Ok(false));
     set_aside(&shelf).unwrap();
     assert_eq!(is_aside(&shelf), Ok(true));
-    assert_eq!(Granary::open(&folder.0).unwrap().load(), Ok(Stored::default()));
-    assert!(fs::read(folder.0.join(ASIDE)).unwrap() == bytes, "what was set aside is kept");
+    assert_eq!(
+        Granary::open(&folder.0).unwrap().load(),
+        Ok(Stored::default())
+    );
+    assert!(
+        fs::read(folder.0.join(ASIDE)).unwrap() == bytes,
+        "what was set aside is kept"
+    );
 }
 
 /// Guards against a release that is too old for its store and misreads it, or takes it for a corrupt one and gives it up.
@@ -81,8 +101,17 @@
     }
     transaction.commit().unwrap();
     drop(database);
-    let newer = Error::Newer { found: 3, expected: 2 };
-    assert_eq!(Granary::open(&folder.0).and_then(|mut granary| granary.load()), Err(newer));
+    let newer = Error::Newer {
+        found: 3,
+        expected: 2,
+    };
+    assert_eq!(
+        Granary::open(&folder.0).and_then(|mut granary| granary.load()),
+        Err(newer)
+    );
     assert_eq!(inspect(&folder.0), Err(newer));
-    assert_eq!(newer.to_string(), "store.redb: found format 3, expected at most 2");
+    assert_eq!(
+        newer.to_string(),
+        "store.redb: found format 3, expected at most 2"
+    );
 }
--- a/crates/raft-store/tests/names.rs
+++ b/crates/raft-store/tests/names.rs
@@ -109,7 +109,11 @@
     fn create(&self, name: &str) -> Result<(), Error> {
         self.counted()?;
         let bytes = Bytes::default();
-        drop(builder().create_with_backend(bytes.clone()).map_err(Error::of)?);
+        drop(
+            builder()
+                .create_with_backend(bytes.clone())
+                .map_err(Error::of)?,
+        );
         self.change(name, Some(bytes));
         Ok(())
     }
@@ -138,8 +142,19 @@
 }
 
 fn batch(life: u64) -> Batch {
-    let hard = Hard { life, term: 3, vote: None, commit: 0 };
-    Batch { hard, snapshot: None, drop_to: 0, cut_from: 1, entries: Vec::new() }
+    let hard = Hard {
+        life,
+        term: 3,
+        vote: None,
+        commit: 0,
+    };
+    Batch {
+        hard,
+        snapshot: None,
+        drop_to: 0,
+        cut_from: 1,
+        entries: Vec::new(),
+    }
 }
 
 fn loaded(drawer: &Drawer) -> Result<Stored, Error> {
@@ -166,7 +181,11 @@
         drop(granary);
         drawer.lose_power(&mut rng);
         let hard = loaded(&drawer).unwrap().hard;
-        assert_eq!(hard, Some(batch(7).hard), "seed {seed}, ended after {ends_after} changes");
+        assert_eq!(
+            hard,
+            Some(batch(7).hard),
+            "seed {seed}, ended after {ends_after} changes"
+        );
     }
 }
 
@@ -177,7 +196,10 @@
     for (seed, ends_after) in (0..9).zip((0..3).cycle()) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let drawer = Drawer::default();
-        Granary::open_on(drawer.clone()).unwrap().write(&batch(7)).unwrap();
+        Granary::open_on(drawer.clone())
+            .unwrap()
+            .write(&batch(7))
+            .unwrap();
         drawer.end_after(Some(ends_after));
         let done = set_aside(&drawer);
         drawer.end_after(None);
@@ -185,7 +207,10 @@
         match (done, drawer.holds(FILE).is_some()) {
             (Ok(()), there) => {
                 assert!(!there, "seed {seed}: the old life is back");
-                assert!(drawer.holds(ASIDE).is_some(), "seed {seed}: what was set aside is kept");
+                assert!(
+                    drawer.holds(ASIDE).is_some(),
+                    "seed {seed}: what was set aside is kept"
+                );
                 assert_eq!(loaded(&drawer), Ok(Stored::default()));
             }
             (Err(_), true) => assert_eq!(loaded(&drawer).unwrap().hard, Some(batch(7).hard)),
@@ -198,10 +223,25 @@
 /// release too old for it came back.
 #[test]
 fn only_a_corrupt_store_is_set_aside() {
-    let flaw = Flaw { place: "log", key: 4, found: "another checksum", expected: "the value's" };
+    let flaw = Flaw {
+        place: "log",
+        key: 4,
+        found: "another checksum",
+        expected: "the value's",
+    };
     assert_eq!(Error::Corrupt(flaw).remedy(), Remedy::SetAside);
-    assert_eq!(Error::Corrupt(flaw).to_string(), "log 4: found another checksum, expected the value's");
-    assert_eq!(Error::Newer { found: 3, expected: 2 }.remedy(), Remedy::Halt);
+    assert_eq!(
+        Error::Corrupt(flaw).to_string(),
+        "log 4: found another checksum, expected the value's"
+    );
+    assert_eq!(
+        Error::Newer {
+            found: 3,
+            expected: 2
+        }
+        .remedy(),
+        Remedy::Halt
+    );
     for error in [Error::Full, Error::Io(io::ErrorKind::Other), Error::InUse] {
         assert_eq!(error.remedy(), Remedy::Wait);
     }
--- a/crates/raft-store/tests/power.rs
+++ b/crates/raft-store/tests/power.rs
@@ -42,7 +42,10 @@
 
 impl Disk {
     fn with(file: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(Platter { file, ..Platter::default() })))
+        Disk(Arc::new(Mutex::new(Platter {
+            file,
+            ..Platter::default()
+        })))
     }
 
     fn take(&self, what: Change) -> io::Result<()> {
@@ -59,7 +62,11 @@
 
     fn opener(&self) -> Opener {
         let disk = self.clone();
-        Box::new(move || builder().create_with_backend(disk.clone()).map_err(Error::of))
+        Box::new(move || {
+            builder()
+                .create_with_backend(disk.clone())
+                .map_err(Error::of)
+        })
     }
 }
 
@@ -71,7 +78,9 @@
     fn read(&self, offset: u64, length: usize) -> io::Result<Vec<u8>> {
         let platter = self.0.lock().unwrap();
         let bytes = platter.file.get(offset as usize..offset as usize + length);
-        bytes.map(<[u8]>::to_vec).ok_or(io::ErrorKind::UnexpectedEof.into())
+        bytes
+            .map(<[u8]>::to_vec)
+            .ok_or(io::ErrorKind::UnexpectedEof.into())
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
@@ -89,9 +98,14 @@
 
 /// The file after a loss of power that followed `changes`: what was synced, and of the rest some, some torn.
 fn after_loss(start: &[u8], changes: &[Change], rng: &mut ChaCha8Rng) -> Vec<u8> {
-    let synced = changes.iter().rposition(|change| matches!(change, Change::Sync)).map_or(0, |at| at + 1);
+    let synced = changes
+        .iter()
+        .rposition(|change| matches!(change, Change::Sync))
+        .map_or(0, |at| at + 1);
     let mut file = start.to_vec();
-    changes[..synced].iter().for_each(|done| change(&mut file, done));
+    changes[..synced]
+        .iter()
+        .for_each(|done| change(&mut file, done));
     let takes_all = rng.gen_ratio(1, 4);
     for late in &changes[synced..] {
         match late {
@@ -111,28 +125,57 @@
 
 /// A run of batches such as a core makes: appends of all sizes, cuts, snapshots.
 fn batches(rng: &mut ChaCha8Rng, count: u64) -> Vec<Batch> {
-    let voter = Seat { address: "10.0.0.1:7720".parse().unwrap(), life: 0 };
+    let voter = Seat {
+        address: "10.0.0.1:7720".parse().unwrap(),
+        life: 0,
+    };
     let (mut last, mut covered) = (0, 0);
     let mut batches = Vec::new();
     for term in 1..=count {
-        let cut_from = if rng.gen_ratio(1, 4) { rng.gen_range(covered..=last) + 1 } else { last + 1 };
+        let cut_from = if rng.gen_ratio(1, 4) {
+            rng.gen_range(covered..=last) + 1
+        } else {
+            last + 1
+        };
         last = cut_from - 1;
         let mut entries = Vec::new();
         for _ in 0..rng.gen_range(1..4) {
             last += 1;
             let bytes = vec![term as u8; if rng.gen_ratio(1, 5) { 3_000 } else { 100 }];
-            entries.push(Entry { index: last, term, payload: Payload::Command { more: false, bytes } });
+            entries.push(Entry {
+                index: last,
+                term,
+                payload: Payload::Command { more: false, bytes },
+            });
         }
         let mut snapshot = None;
         if rng.gen_ratio(1, 4) {
             covered = last - 1;
-            let members = Members { voters: vec![voter] };
+            let members = Members {
+                voters: vec![voter],
+            };
             let state = vec![term as u8; rng.gen_range(0..90_000)];
-            snapshot = Some(Arc::new(Snapshot { index: covered, term, members, state }));
+            snapshot = Some(Arc::new(Snapshot {
+                index: covered,
+                term,
+                members,
+                state,
+            }));
         }
-        let hard = Hard { life: 0, term, vote: Some(voter), commit: covered };
+        let hard = Hard {
+            life: 0,
+            term,
+            vote: Some(voter),
+            commit: covered,
+        };
         let drop_to = covered.saturating_sub(2);
-        batches.push(Batch { hard, snapshot, drop_to, cut_from, entries });
+        batches.push(Batch {
+            hard,
+            snapshot,
+            drop_to,
+            cut_from,
+            entries,
+        });
     }
     batches
 }
@@ -160,7 +203,8 @@
     let changes = disk.0.lock().unwrap().changes.clone();
     for cut in 0..=changes.len() {
         let file = after_loss(&start, &changes[..cut], &mut rng);
-        let loaded = Granary::open_with(Disk::with(file).opener()).and_then(|mut granary| granary.load());
+        let loaded =
+            Granary::open_with(Disk::with(file).opener()).and_then(|mut granary| granary.load());
         let acknowledged = acknowledged_at.iter().rposition(|at| *at <= cut).unwrap();
         let state = states.iter().position(|state| Ok(state) == loaded.as_ref());
         assert!(
@@ -197,7 +241,10 @@
         let before = state.clone();
         batches[3].apply(&mut state);
         let found = granary.load().unwrap();
-        assert!(found == before || found == state, "neither before nor after");
+        assert!(
+            found == before || found == state,
+            "neither before nor after"
+        );
         assert_eq!(granary.write(&batches[3]), Ok(()));
         assert_eq!(granary.load().unwrap(), state);
     }
@@ -219,8 +266,11 @@
     let file = disk.0.lock().unwrap().file.clone();
     let mut reported = 0;
     // Most of the file is room: bits of the commands and of the state are flipped.
-    let is_value =
-        |at: &usize| file[*at - 4..*at + 4].iter().all(|byte| *byte == file[*at] && (1..9).contains(byte));
+    let is_value = |at: &usize| {
+        file[*at - 4..*at + 4]
+            .iter()
+            .all(|byte| *byte == file[*at] && (1..9).contains(byte))
+    };
     let used: Vec<usize> = (4..file.len() - 4).filter(is_value).collect();
     for _ in 0..25 {
         let mut file = file.clone();
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -29,7 +29,10 @@
     }
 
     pub(crate) fn set_first_timeout(&mut self, fresh: bool, founds: bool) {
-        let wait = self.draw(if founds { FOUNDING } else { ELECTION_MIN }, ELECTION_SPREAD);
+        let wait = self.draw(
+            if founds { FOUNDING } else { ELECTION_MIN },
+            ELECTION_SPREAD,
+        );
         self.election_due = self.now + wait;
         if !fresh {
             self.restarted = Some(self.election_due);
@@ -112,7 +115,10 @@
         self.following = Following::default();
         self.granted = [self.me].into();
         self.if_all = [(self.me, self.start)].into();
-        self.ask_voters(Message::PreVote { last: self.log.last(), last_term: self.log.last_term() });
+        self.ask_voters(Message::PreVote {
+            last: self.log.last(),
+            last_term: self.log.last_term(),
+        });
     }
 
     fn ask_voters(&mut self, message: Message) {
@@ -138,7 +144,15 @@
         for seat in self.roll.in_force(self.commit) {
             if seat != self.me {
                 let restarted = self.if_all.get(&seat).copied().filter(|_| restarted);
-                self.send(seat, Message::Vote { last, last_term, handed_over, restarted });
+                self.send(
+                    seat,
+                    Message::Vote {
+                        last,
+                        last_term,
+                        handed_over,
+                        restarted,
+                    },
+                );
             }
         }
     }
@@ -148,19 +162,31 @@
         if matches!(self.role, Role::Follower | Role::Leader) {
             return;
         }
-        let won = self.roll.majority(self.commit, |seat| self.granted.contains(seat));
+        let won = self
+            .roll
+            .majority(self.commit, |seat| self.granted.contains(seat));
         if self.role == Role::PreCandidate && self.restarted.is_some() {
             // Its own vote may be what an earlier leader's lease rests on. Where every voter has restarted nobody leads, as
             // leaders are voters and who restarts does not lead. One of the list before leads until the change is over.
             let mut all = self.roll.in_force(self.commit);
-            all.extend(self.roll.unfinished(self.commit).into_iter().flat_map(|before| &before.voters));
-            if all.iter().all(|seat| self.if_all.contains_key(seat) || self.granted.contains(seat)) {
+            all.extend(
+                self.roll
+                    .unfinished(self.commit)
+                    .into_iter()
+                    .flat_map(|before| &before.voters),
+            );
+            if all
+                .iter()
+                .all(|seat| self.if_all.contains_key(seat) || self.granted.contains(seat))
+            {
                 self.stand(false, true);
             }
         } else if self.role == Role::PreCandidate && won {
             self.stand(false, false);
         }
-        let won = self.roll.majority(self.commit, |seat| self.granted.contains(seat));
+        let won = self
+            .roll
+            .majority(self.commit, |seat| self.granted.contains(seat));
         if self.role == Role::Candidate && won && self.disk.is_hard_durable() {
             self.begin_leading();
         }
@@ -185,16 +211,34 @@
         let granted = term >= self.term && self.is_up_to_date(last, last_term);
         if self.has_live_leader() {
             if granted && self.restarted.is_some() {
-                self.send(from, Message::PreVoteIfAll { next_term: term + 1, start: self.start });
+                self.send(
+                    from,
+                    Message::PreVoteIfAll {
+                        next_term: term + 1,
+                        start: self.start,
+                    },
+                );
             }
             return;
         }
         if granted || term < self.term {
-            self.send(from, Message::PreVoteReply { next_term: term + 1, granted });
+            self.send(
+                from,
+                Message::PreVoteReply {
+                    next_term: term + 1,
+                    granted,
+                },
+            );
         }
     }
 
-    pub(crate) fn on_pre_vote_reply(&mut self, from: Seat, term: Term, next_term: Term, granted: bool) {
+    pub(crate) fn on_pre_vote_reply(
+        &mut self,
+        from: Seat,
+        term: Term,
+        next_term: Term,
+        granted: bool,
+    ) {
         if self.role != Role::PreCandidate {
             return;
         }
@@ -229,8 +273,10 @@
             self.follow(term, None);
         }
         let free = self.vote.is_none_or(|vote| vote == from);
-        let granted =
-            term == self.term && self.role == Role::Follower && free && self.is_up_to_date(last, last_term);
+        let granted = term == self.term
+            && self.role == Role::Follower
+            && free
+            && self.is_up_to_date(last, last_term);
         if granted {
             if self.vote.is_none() {
                 self.vote = Some(from);
@@ -275,7 +321,9 @@
         let fresh = lead.peers.iter().filter(|(seat, peer)| {
             self.voters().contains(seat) && self.now < peer.heard_at + QUORUM_PATIENCE
         });
-        let heir = fresh.max_by_key(|(_, peer)| peer.matched).map(|(seat, _)| *seat);
+        let heir = fresh
+            .max_by_key(|(_, peer)| peer.matched)
+            .map(|(seat, _)| *seat);
         if let Some(heir) = heir {
             self.send(heir, Message::HandOver);
         }
@@ -283,7 +331,11 @@
     }
 
     pub(crate) fn on_hand_over(&mut self, from: Seat) {
-        if self.leader == Some(from) && self.may_lead() && self.is_disk_fit() && self.role == Role::Follower {
+        if self.leader == Some(from)
+            && self.may_lead()
+            && self.is_disk_fit()
+            && self.role == Role::Follower
+        {
             self.stand(true, false);
         }
     }
--- a/crates/raft/src/join.rs
+++ b/crates/raft/src/join.rs
@@ -34,7 +34,11 @@
 
 impl Core {
     fn silence_ends(&self) -> Micros {
-        let silence = if self.is_voter() { VOTERS_SILENCE } else { LEARNERS_SILENCE };
+        let silence = if self.is_voter() {
+            VOTERS_SILENCE
+        } else {
+            LEARNERS_SILENCE
+        };
         self.asking.silent_since.map_or(0, |since| since + silence)
     }
 
@@ -43,7 +47,8 @@
             return Micros::MAX;
         }
         let every = if self.is_voter() { VOTERS_EVERY } else { EVERY };
-        self.silence_ends().max(self.asking.asked_at.map_or(0, |at| at + every))
+        self.silence_ends()
+            .max(self.asking.asked_at.map_or(0, |at| at + every))
     }
 
     pub(crate) fn check_asking(&mut self) {
@@ -56,8 +61,11 @@
         }
         self.asking.asked_at = Some(self.now);
         let voters = self.voters().iter().map(|seat| &seat.address);
-        let known: BTreeSet<SocketAddrV4> =
-            voters.chain(&self.seeds).chain(&self.asking.contacts).copied().collect();
+        let known: BTreeSet<SocketAddrV4> = voters
+            .chain(&self.seeds)
+            .chain(&self.asking.contacts)
+            .copied()
+            .collect();
         for address in known {
             self.ask(address);
         }
@@ -73,21 +81,38 @@
         let members: Vec<SocketAddrV4> = self.voters().iter().map(|seat| seat.address).collect();
         for address in self.forlorn() {
             let leader = Some(self.me.address);
-            self.send(Seat { address, life: ANY }, Message::Point { leader, members: members.clone() });
+            self.send(
+                Seat { address, life: ANY },
+                Message::Point {
+                    leader,
+                    members: members.clone(),
+                },
+            );
         }
     }
 
     fn ask(&mut self, address: SocketAddrV4) {
         if address != self.me.address {
-            self.send(Seat { address, life: ANY }, Message::Ask { last: self.log.last() });
+            self.send(
+                Seat { address, life: ANY },
+                Message::Ask {
+                    last: self.log.last(),
+                },
+            );
         }
     }
 
     fn ask_on_word(&mut self, address: SocketAddrV4) {
-        let lately = self.asking.pointed_at.is_some_and(|at| self.now < at + POINTED);
+        let lately = self
+            .asking
+            .pointed_at
+            .is_some_and(|at| self.now < at + POINTED);
         let asks = self.lead.is_none() && self.leaving.is_none();
         // A voter, too: it may be off the list while the others have a leader.
-        let silence_ends = self.asking.silent_since.map_or(0, |since| since + LEARNERS_SILENCE);
+        let silence_ends = self
+            .asking
+            .silent_since
+            .map_or(0, |since| since + LEARNERS_SILENCE);
         if asks && self.now >= silence_ends && !lately {
             self.asking.pointed_at = Some(self.now);
             self.ask(address);
@@ -123,7 +148,8 @@
         let votes = self.roll.newest().voters.contains(&from);
         if votes || known {
             // A later life that knocked here before this one did has gone again.
-            lead.learners.retain(|seat| seat.address != from.address || *seat == from);
+            lead.learners
+                .retain(|seat| seat.address != from.address || *seat == from);
         } else {
             lead.learners.retain(|seat| seat.address != from.address);
             if lead.learners.len() >= MAX_LEARNERS {
@@ -133,7 +159,10 @@
             self.roll.meet(&[from]);
         }
         let begin = self.log.last().min(last) + 1;
-        let peer = lead.peers.entry(from).or_insert_with(|| Peer::begin(begin, self.now));
+        let peer = lead
+            .peers
+            .entry(from)
+            .or_insert_with(|| Peer::begin(begin, self.now));
         if !votes {
             // A voter that asks does not hear this leader: that is no answer.
             peer.heard_at = self.now;
--- a/crates/raft/src/leadership_transfer.rs
+++ b/crates/raft/src/leadership_transfer.rs
@@ -62,7 +62,8 @@
 
     /// It was heard, and did not say that it stops.
     fn forget(&mut self, heard_at: impl Fn(&Seat) -> Micros) {
-        self.0.retain(|seat, leaver| heard_at(seat) < leaver.told_at + FORGOTTEN);
+        self.0
+            .retain(|seat, leaver| heard_at(seat) < leaver.told_at + FORGOTTEN);
     }
 }
 
@@ -74,7 +75,13 @@
 
     pub(crate) fn leave(&mut self) {
         let token = self.rng.gen();
-        let begun = Leaving { since: self.now, token, told_at: None, waiting: None, left: false };
+        let begun = Leaving {
+            since: self.now,
+            token,
+            told_at: None,
+            waiting: None,
+            left: false,
+        };
         self.leaving.get_or_insert(begun);
     }
 
@@ -85,7 +92,9 @@
 
     /// Whether proposals are to wait for the next leader.
     pub(crate) fn is_transferring(&self) -> bool {
-        let Some(leaving) = &self.leaving else { return false };
+        let Some(leaving) = &self.leaving else {
+            return false;
+        };
         self.now < leaving.since + TRANSFER && self.heirs().next().is_some()
     }
 
@@ -104,7 +113,8 @@
     pub(crate) fn tend_leaving(&mut self) {
         if let Some(lead) = &mut self.lead {
             let peers = &lead.peers;
-            lead.leavers.forget(|seat| peers.get(seat).map_or(0, |peer| peer.heard_at));
+            lead.leavers
+                .forget(|seat| peers.get(seat).map_or(0, |peer| peer.heard_at));
         }
         if self.leave_due().is_none() {
             return;
@@ -115,16 +125,30 @@
         if self.leave_due().is_none_or(|due| self.now < due) {
             return;
         }
-        let Some(leaving) = &mut self.leaving else { return };
+        let Some(leaving) = &mut self.leaving else {
+            return;
+        };
         leaving.told_at = Some(self.now);
         let (token, waiting) = (leaving.token, leaving.waiting.clone());
         if self.lead.is_some() {
             return;
         }
-        let everyone = || self.voters().iter().copied().filter(|seat| *seat != self.me).collect();
+        let everyone = || {
+            self.voters()
+                .iter()
+                .copied()
+                .filter(|seat| *seat != self.me)
+                .collect()
+        };
         let told: Vec<Seat> = self.leader.map_or_else(everyone, |leader| vec![leader]);
         for seat in told {
-            self.send(seat, Message::Leave { token, waiting: waiting.clone() });
+            self.send(
+                seat,
+                Message::Leave {
+                    token,
+                    waiting: waiting.clone(),
+                },
+            );
         }
     }
 
@@ -133,10 +157,16 @@
         let waits = self.is_transferring();
         let floor = if waits { self.log.last() } else { self.commit };
         let answered = !waits || self.applied == self.log.last();
-        let heir = self.heirs().filter(|(_, matched)| *matched >= floor).max_by_key(|(_, matched)| *matched);
+        let heir = self
+            .heirs()
+            .filter(|(_, matched)| *matched >= floor)
+            .max_by_key(|(_, matched)| *matched);
         if let Some((heir, _)) = heir.filter(|_| answered) {
             self.send(heir, Message::HandOver);
-            let old = self.lead.as_ref().filter(|lead| self.now >= lead.since + YOUNG);
+            let old = self
+                .lead
+                .as_ref()
+                .filter(|lead| self.now >= lead.since + YOUNG);
             let waiting = old.map(|lead| lead.learners.iter().copied().collect());
             self.leaving.as_mut().expect("it leaves").waiting = waiting;
             self.stand_back();
@@ -159,7 +189,10 @@
     pub(crate) fn on_leave(&mut self, from: Seat, token: u64, waiting: Option<Vec<Seat>>) {
         let now = self.now;
         let Some(lead) = &mut self.lead else { return };
-        let leaver = lead.leavers.0.entry(from).or_insert(Leaver { told_at: now, dismissed: false });
+        let leaver = lead.leavers.0.entry(from).or_insert(Leaver {
+            told_at: now,
+            dismissed: false,
+        });
         leaver.told_at = now;
         if lead.learners.remove(&from) {
             self.seat_peers();
@@ -172,7 +205,11 @@
         if is_out || self.all_leave() {
             self.send(from, Message::Left { token });
         } else if self.can_spare(&from) {
-            if let Some(leaver) = self.lead.as_mut().and_then(|lead| lead.leavers.0.get_mut(&from)) {
+            if let Some(leaver) = self
+                .lead
+                .as_mut()
+                .and_then(|lead| lead.leavers.0.get_mut(&from))
+            {
                 leaver.dismissed = true;
             }
             self.send(from, Message::Left { token });
@@ -183,14 +220,26 @@
     fn take_over(&mut self, waiting: Option<Vec<Seat>>) {
         let known = self.roll.in_force(self.commit);
         let (now, next) = (self.now, self.log.last() + 1);
-        let Some((lead, waiting)) = self.lead.as_mut().zip(waiting) else { return };
+        let Some((lead, waiting)) = self.lead.as_mut().zip(waiting) else {
+            return;
+        };
         if std::mem::replace(&mut lead.is_told_who_waits, true) {
             return;
         }
-        for seat in waiting.into_iter().filter(|seat| !known.contains(seat)).take(MAX_LEARNERS) {
-            if lead.learners.iter().all(|other| other.address != seat.address) {
+        for seat in waiting
+            .into_iter()
+            .filter(|seat| !known.contains(seat))
+            .take(MAX_LEARNERS)
+        {
+            if lead
+                .learners
+                .iter()
+                .all(|other| other.address != seat.address)
+            {
                 lead.learners.insert(seat);
-                lead.peers.entry(seat).or_insert_with(|| Peer::begin(next, now));
+                lead.peers
+                    .entry(seat)
+                    .or_insert_with(|| Peer::begin(next, now));
             }
         }
     }
@@ -199,8 +248,11 @@
     /// of the voters without it (on all others where there are just two).
     fn can_spare(&self, leaver: &Seat) -> bool {
         let Some(lead) = &self.lead else { return false };
-        let fresh =
-            |seat: &Seat| lead.peers.get(seat).is_some_and(|peer| self.now < peer.heard_at + QUORUM_PATIENCE);
+        let fresh = |seat: &Seat| {
+            lead.peers
+                .get(seat)
+                .is_some_and(|peer| self.now < peer.heard_at + QUORUM_PATIENCE)
+        };
         let young = self.now < lead.since + YOUNG && !lead.is_told_who_waits;
         if young || lead.learners.iter().any(fresh) || self.next_members().is_some() {
             return false;
@@ -213,8 +265,13 @@
         let voters = self.voters();
         // Is one silent that may be out soon, both seats can go together.
         let in_doubt = |seat: &Seat| {
-            let silence = lead.peers.get(seat).map_or(0, |peer| self.now - peer.heard_at);
-            *seat != self.me && !lead.leavers.contains(seat) && (QUORUM_PATIENCE..DOUBT).contains(&silence)
+            let silence = lead
+                .peers
+                .get(seat)
+                .map_or(0, |peer| self.now - peer.heard_at);
+            *seat != self.me
+                && !lead.leavers.contains(seat)
+                && (QUORUM_PATIENCE..DOUBT).contains(&silence)
         };
         if voters.iter().any(in_doubt) {
             return false;
@@ -224,7 +281,11 @@
     }
 
     pub(crate) fn on_left(&mut self, token: u64) {
-        if let Some(leaving) = self.leaving.as_mut().filter(|leaving| leaving.token == token) {
+        if let Some(leaving) = self
+            .leaving
+            .as_mut()
+            .filter(|leaving| leaving.token == token)
+        {
             leaving.left = true;
         }
     }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -245,11 +245,18 @@
         let hard = stored.hard.unwrap_or_else(|| Hard::begin(founds, &mut rng));
         let mut log = Log::load(stored.snapshot, stored.entries);
         if founds {
-            log.push(Entry { index: 1, term: 0, payload: Payload::Members(Members::founders(&start.seeds)) });
+            log.push(Entry {
+                index: 1,
+                term: 0,
+                payload: Payload::Members(Members::founders(&start.seeds)),
+            });
         }
         let commit = hard.commit.min(log.last()).max(log.snapshot_index());
         let mut core = Core {
-            me: Seat { address: start.me, life: hard.life },
+            me: Seat {
+                address: start.me,
+                life: hard.life,
+            },
             seeds: start.seeds,
             rng,
             now,
@@ -337,7 +344,12 @@
     /// A message. Those for another life of this address are dropped; those from another life than the one a member has
     /// are not counted, since all that is counted is by seat.
     fn receive(&mut self, envelope: Envelope) {
-        let Envelope { from, to, term, message } = envelope;
+        let Envelope {
+            from,
+            to,
+            term,
+            message,
+        } = envelope;
         if to.address != self.me.address || from == self.me {
             return;
         }
@@ -353,13 +365,18 @@
             Message::Leave { token, waiting } => self.on_leave(from, token, waiting),
             Message::Left { token } => self.on_left(token),
             Message::PreVote { last, last_term } => self.on_pre_vote(from, term, last, last_term),
-            Message::PreVoteIfAll { next_term, start } => self.on_pre_vote_if_all(from, next_term, start),
+            Message::PreVoteIfAll { next_term, start } => {
+                self.on_pre_vote_if_all(from, next_term, start)
+            }
             Message::PreVoteReply { next_term, granted } => {
                 self.on_pre_vote_reply(from, term, next_term, granted)
             }
-            Message::Vote { last, last_term, handed_over, restarted } => {
-                self.on_vote(from, term, (last, last_term), handed_over, restarted)
-            }
+            Message::Vote {
+                last,
+                last_term,
+                handed_over,
+                restarted,
+            } => self.on_vote(from, term, (last, last_term), handed_over, restarted),
             message => {
                 if term > self.term {
                     self.follow(term, None);
@@ -369,7 +386,14 @@
                 } else if message.is_leaders() {
                     // A leader of the past: our term makes it step down. Without that a machine that has gone on alone
                     // to a newer term could never be led again.
-                    self.send(from, Message::AppendReply { round: 0, matched: 0, missing: None });
+                    self.send(
+                        from,
+                        Message::AppendReply {
+                            round: 0,
+                            matched: 0,
+                            missing: None,
+                        },
+                    );
                 }
             }
         }
@@ -378,15 +402,30 @@
     fn receive_in_term(&mut self, from: Seat, message: Message) {
         match message {
             Message::VoteReply { granted } => self.on_vote_reply(from, granted),
-            Message::Append { round, prev, prev_term, commit, entries } => {
+            Message::Append {
+                round,
+                prev,
+                prev_term,
+                commit,
+                entries,
+            } => {
                 if self.hear_leader(from) {
                     self.on_append(from, round, (prev, prev_term), commit, entries);
                 }
             }
-            Message::AppendReply { round, matched, missing } => {
-                self.on_append_reply(from, round, matched, missing)
-            }
-            Message::Fill { index, snapshot_term, members, total, offset, bytes } => {
+            Message::AppendReply {
+                round,
+                matched,
+                missing,
+            } => self.on_append_reply(from, round, matched, missing),
+            Message::Fill {
+                index,
+                snapshot_term,
+                members,
+                total,
+                offset,
+                bytes,
+            } => {
                 if self.hear_leader(from) {
                     self.on_fill(from, (index, snapshot_term), members, total, offset, bytes);
                 }
@@ -417,7 +456,10 @@
         if let Some(snapshot) = self.log.snapshot() {
             if snapshot.index > self.applied {
                 self.applied = snapshot.index;
-                self.out.push(Action::Restore { index: snapshot.index, state: snapshot.state.clone() });
+                self.out.push(Action::Restore {
+                    index: snapshot.index,
+                    state: snapshot.state.clone(),
+                });
             }
         }
     }
@@ -495,6 +537,10 @@
     /// Whether this seat is on the newest list, or on the one before while the change is not known to be over: a machine
     /// that the newer one lacks may hold more than all others, and has to lead until they have it, too.
     pub(crate) fn may_lead(&self) -> bool {
-        self.is_voter() || self.roll.unfinished(self.commit).is_some_and(|old| old.voters.contains(&self.me))
+        self.is_voter()
+            || self
+                .roll
+                .unfinished(self.commit)
+                .is_some_and(|old| old.voters.contains(&self.me))
     }
 }
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -77,7 +77,9 @@
     /// The stored log. A store gives back what one write left whole, so gaps are a broken invariant.
     pub(crate) fn load(snapshot: Option<Arc<Snapshot>>, entries: Vec<Entry>) -> Log {
         let mut entries = VecDeque::from(entries);
-        let covered = snapshot.as_ref().map_or((0, 0), |snapshot| (snapshot.index, snapshot.term));
+        let covered = snapshot
+            .as_ref()
+            .map_or((0, 0), |snapshot| (snapshot.index, snapshot.term));
         let base = match entries.front() {
             Some(first) if first.index <= covered.0 => {
                 // What came before the tail is gone, its term too: the first of the tail takes its place.
@@ -87,8 +89,19 @@
             }
             _ => covered,
         };
-        let log = Log { snapshot, base, entries, spent: 0 };
-        assert!(log.entries.iter().zip(base.0 + 1..).all(|(entry, index)| entry.index == index), "a gap");
+        let log = Log {
+            snapshot,
+            base,
+            entries,
+            spent: 0,
+        };
+        assert!(
+            log.entries
+                .iter()
+                .zip(base.0 + 1..)
+                .all(|(entry, index)| entry.index == index),
+            "a gap"
+        );
         assert!(log.last() >= covered.0, "the log ends before its snapshot");
         log
     }
@@ -123,12 +136,15 @@
     }
 
     pub(crate) fn get(&self, index: Index) -> Option<&Entry> {
-        self.entries.get(index.checked_sub(self.base.0 + 1)? as usize)
+        self.entries
+            .get(index.checked_sub(self.base.0 + 1)? as usize)
     }
 
     /// The entries from `from` on, the first of them kept if that is later.
     pub(crate) fn since(&self, from: Index) -> impl Iterator<Item = &Entry> {
-        self.entries.iter().skip(from.saturating_sub(self.base.0 + 1) as usize)
+        self.entries
+            .iter()
+            .skip(from.saturating_sub(self.base.0 + 1) as usize)
     }
 
     /// As many entries from `from` on as fit into one message, at least one.
@@ -171,9 +187,22 @@
     }
 
     /// The state just after `index`, of what is applied, takes the place of the log before it.
-    pub(crate) fn compact(&mut self, index: Index, applied: Index, members: Members, state: Vec<u8>) {
-        let term = self.term_at(index).expect("applied entries after the snapshot are kept");
-        self.snapshot = Some(Arc::new(Snapshot { index, term, members, state }));
+    pub(crate) fn compact(
+        &mut self,
+        index: Index,
+        applied: Index,
+        members: Members,
+        state: Vec<u8>,
+    ) {
+        let term = self
+            .term_at(index)
+            .expect("applied entries after the snapshot are kept");
+        self.snapshot = Some(Arc::new(Snapshot {
+            index,
+            term,
+            members,
+            state,
+        }));
         let mut bytes = 0;
         let mut tail = 0;
         while tail < TAIL_ENTRIES && bytes < TAIL_BYTES && index - tail > self.base.0 {
@@ -184,8 +213,11 @@
         let base_term = self.term_at(base).expect("kept until now");
         self.forget(base);
         self.base = (base, base_term);
-        self.spent =
-            self.since(index + 1).take_while(|entry| entry.index <= applied).map(Entry::weight).sum();
+        self.spent = self
+            .since(index + 1)
+            .take_while(|entry| entry.index <= applied)
+            .map(Entry::weight)
+            .sum();
     }
 
     /// Takes over another machine's snapshot. The entries after it stay if the log agrees with it; else all go, and false
@@ -200,12 +232,19 @@
     }
 
     /// The next whole command after `applied`, which moves past it and past all that is none.
-    pub(crate) fn next_command(&mut self, applied: &mut Index, commit: Index) -> Option<(Index, Vec<u8>)> {
+    pub(crate) fn next_command(
+        &mut self,
+        applied: &mut Index,
+        commit: Index,
+    ) -> Option<(Index, Vec<u8>)> {
         let mut pieces: Vec<&[u8]> = Vec::new();
         let mut term = 0;
         let (mut seen, mut passed) = (0, 0);
         let mut found = None;
-        for entry in self.since(*applied + 1).take_while(|entry| entry.index <= commit) {
+        for entry in self
+            .since(*applied + 1)
+            .take_while(|entry| entry.index <= commit)
+        {
             if entry.term != term {
                 pieces.clear();
             }
@@ -234,7 +273,10 @@
 
     /// Counts only what a compaction would drop: what is not in force yet makes the log long, but not shorter by one.
     pub(crate) fn is_long(&self, applied: Index) -> bool {
-        let state = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.state.len());
+        let state = self
+            .snapshot
+            .as_ref()
+            .map_or(0, |snapshot| snapshot.state.len());
         applied - self.snapshot_index() > LONG_ENTRIES || self.spent > LONG_BYTES.max(2 * state)
     }
 }
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -56,7 +56,12 @@
 impl Members {
     pub(crate) fn founders(seeds: &[SocketAddrV4]) -> Members {
         let seeds: BTreeSet<SocketAddrV4> = seeds.iter().copied().collect();
-        Members { voters: seeds.into_iter().map(|address| Seat { address, life: 0 }).collect() }
+        Members {
+            voters: seeds
+                .into_iter()
+                .map(|address| Seat { address, life: 0 })
+                .collect(),
+        }
     }
 
     /// The highest value that more than half have reached.
@@ -85,7 +90,9 @@
 impl Roll {
     pub(crate) fn of(log: &Log) -> Roll {
         let mut roll = Roll {
-            base: log.snapshot().map_or_else(Members::default, |snapshot| snapshot.members.clone()),
+            base: log
+                .snapshot()
+                .map_or_else(Members::default, |snapshot| snapshot.members.clone()),
             later: Vec::new(),
             ends: Vec::new(),
             met: VecDeque::new(),
@@ -132,7 +139,11 @@
     }
 
     pub(crate) fn at(&self, index: Index) -> &Members {
-        self.later.iter().rev().find(|(at, _)| *at <= index).map_or(&self.base, |(_, members)| members)
+        self.later
+            .iter()
+            .rev()
+            .find(|(at, _)| *at <= index)
+            .map_or(&self.base, |(_, members)| members)
     }
 
     pub(crate) fn forget_before(&mut self, index: Index) {
@@ -159,7 +170,9 @@
     fn before(&self) -> Option<&Members> {
         let newest = self.newest_index();
         let joint = newest > self.last_end();
-        joint.then(|| self.at(newest - 1)).filter(|members| !members.voters.is_empty())
+        joint
+            .then(|| self.at(newest - 1))
+            .filter(|members| !members.voters.is_empty())
     }
 
     /// The list before the newest one while it isn't known to all that it is over.
@@ -176,7 +189,8 @@
     /// The highest value that more than half of every list in force have reached.
     pub(crate) fn agreed(&self, commit: Index, value: impl Fn(&Seat) -> u64) -> u64 {
         let newest = self.newest().agreed(&value);
-        self.previous(commit).map_or(newest, |previous| newest.min(previous.agreed(&value)))
+        self.previous(commit)
+            .map_or(newest, |previous| newest.min(previous.agreed(&value)))
     }
 
     pub(crate) fn majority(&self, commit: Index, holds: impl Fn(&Seat) -> bool) -> bool {
@@ -185,8 +199,15 @@
 
     /// All voters of the lists in force.
     pub(crate) fn in_force(&self, commit: Index) -> BTreeSet<Seat> {
-        let previous = self.previous(commit).map_or(&[][..], |members| &members.voters);
-        self.newest().voters.iter().chain(previous).copied().collect()
+        let previous = self
+            .previous(commit)
+            .map_or(&[][..], |members| &members.voters);
+        self.newest()
+            .voters
+            .iter()
+            .chain(previous)
+            .copied()
+            .collect()
     }
 }
 
@@ -205,7 +226,9 @@
 impl Core {
     /// The other machines, as the leader sees them; empty on others.
     pub fn contacts(&self) -> Vec<Contact> {
-        let Some(lead) = &self.lead else { return Vec::new() };
+        let Some(lead) = &self.lead else {
+            return Vec::new();
+        };
         let contact = |(seat, peer): (&Seat, &Peer)| Contact {
             seat: *seat,
             votes: self.voters().contains(seat),
@@ -217,12 +240,16 @@
 
     /// The voters before the newest list, while that is not known here to be in force.
     pub fn voters_before(&self) -> Option<&[Seat]> {
-        self.roll.previous(self.commit).map(|members| &members.voters[..])
+        self.roll
+            .previous(self.commit)
+            .map(|members| &members.voters[..])
     }
 
     /// Machines being filled, as the leader knows them; empty on others.
     pub fn learners(&self) -> Vec<Seat> {
-        self.lead.as_ref().map_or_else(Vec::new, |lead| lead.learners.iter().copied().collect())
+        self.lead
+            .as_ref()
+            .map_or_else(Vec::new, |lead| lead.learners.iter().copied().collect())
     }
 
     /// Whether a change of the list is under way.
@@ -263,8 +290,11 @@
     /// number bears no more losses than the odd one below it, and needs one machine more.
     pub(crate) fn next_members(&self) -> Option<Members> {
         let lead = self.lead.as_ref()?;
-        let silence =
-            |seat: &Seat| lead.peers.get(seat).map_or(0, |peer| self.now.saturating_sub(peer.heard_at));
+        let silence = |seat: &Seat| {
+            lead.peers
+                .get(seat)
+                .map_or(0, |peer| self.now.saturating_sub(peer.heard_at))
+        };
         let answers = |seat: &Seat| {
             let peer = lead.peers.get(seat);
             *seat == self.me || peer.is_some_and(|peer| peer.round > 0 && silence(seat) < QUIET)
@@ -274,9 +304,17 @@
         let newest = &self.roll.newest().voters;
         let mut voters = newest.clone();
         let mut waiting = Vec::new();
-        for seat in lead.learners.iter().filter(|seat| answers(seat)).filter(is_filled) {
+        for seat in lead
+            .learners
+            .iter()
+            .filter(|seat| answers(seat))
+            .filter(is_filled)
+        {
             // Another life at the address of a voter: that one's disk is gone.
-            match voters.iter_mut().find(|voter| voter.address == seat.address) {
+            match voters
+                .iter_mut()
+                .find(|voter| voter.address == seat.address)
+            {
                 Some(voter) => *voter = *seat,
                 None => waiting.push(*seat),
             }
@@ -286,8 +324,11 @@
             let is_silent = || silence(seat) > self.out_after(was_heard(seat));
             *seat != self.me && (lead.leavers.contains(seat) || is_silent())
         };
-        let mut out: Vec<Seat> =
-            newest.iter().copied().filter(|seat| voters.contains(seat) && is_out(seat)).collect();
+        let mut out: Vec<Seat> = newest
+            .iter()
+            .copied()
+            .filter(|seat| voters.contains(seat) && is_out(seat))
+            .collect();
         // Those that stop last of all, then those silent for longest: taken from the end.
         out.sort_by_key(|seat| (lead.leavers.contains(seat), silence(seat)));
         while let Some(old) = out.pop_if(|_| !waiting.is_empty()) {
@@ -313,11 +354,18 @@
 
     /// Addresses that this machine has met and that the leader does not talk to.
     pub(crate) fn forlorn(&self) -> Vec<SocketAddrV4> {
-        let Some(lead) = &self.lead else { return Vec::new() };
+        let Some(lead) = &self.lead else {
+            return Vec::new();
+        };
         let talks = |met: &SocketAddrV4| {
             *met == self.me.address || lead.peers.keys().any(|seat| seat.address == *met)
         };
-        self.roll.met.iter().copied().filter(|met| !talks(met)).collect()
+        self.roll
+            .met
+            .iter()
+            .copied()
+            .filter(|met| !talks(met))
+            .collect()
     }
 
     /// The leader talks to all voters in force and to the learners, to no one else.
@@ -325,9 +373,12 @@
         let Some(lead) = &mut self.lead else { return };
         let in_force = self.roll.in_force(self.commit);
         lead.learners.retain(|seat| !in_force.contains(seat));
-        lead.peers.retain(|seat, _| in_force.contains(seat) || lead.learners.contains(seat));
+        lead.peers
+            .retain(|seat, _| in_force.contains(seat) || lead.learners.contains(seat));
         for seat in in_force.into_iter().filter(|seat| *seat != self.me) {
-            lead.peers.entry(seat).or_insert_with(|| Peer::begin(self.log.last() + 1, self.now));
+            lead.peers
+                .entry(seat)
+                .or_insert_with(|| Peer::begin(self.log.last() + 1, self.now));
         }
     }
 }
--- a/crates/raft/src/persistence.rs
+++ b/crates/raft/src/persistence.rs
@@ -36,8 +36,17 @@
     /// At the first start on an empty store.
     pub(crate) fn begin(founds: bool, rng: &mut ChaCha8Rng) -> Hard {
         // The last life is the "whoever is there" of `Ask`.
-        let life = if founds { 0 } else { rng.next_u64().clamp(1, u64::MAX - 1) };
-        Hard { life, term: 0, vote: None, commit: u64::from(founds) }
+        let life = if founds {
+            0
+        } else {
+            rng.next_u64().clamp(1, u64::MAX - 1)
+        };
+        Hard {
+            life,
+            term: 0,
+            vote: None,
+            commit: u64::from(founds),
+        }
     }
 }
 
@@ -72,7 +81,9 @@
         if let Some(snapshot) = &self.snapshot {
             stored.snapshot = Some(snapshot.clone());
         }
-        stored.entries.retain(|entry| entry.index > self.drop_to && entry.index < self.cut_from);
+        stored
+            .entries
+            .retain(|entry| entry.index > self.drop_to && entry.index < self.cut_from);
         stored.entries.extend(self.entries.iter().cloned());
     }
 }
@@ -134,7 +145,9 @@
 
     /// When to try again after a refused write.
     pub(crate) fn retry_due(&self) -> Option<Micros> {
-        self.refused_at.filter(|_| self.writing.is_none()).map(|at| at + RETRY)
+        self.refused_at
+            .filter(|_| self.writing.is_none())
+            .map(|at| at + RETRY)
     }
 }
 
@@ -146,7 +159,12 @@
     }
 
     pub(crate) fn send(&mut self, to: Seat, message: Message) {
-        let envelope = Envelope { from: self.me, to, term: self.term, message };
+        let envelope = Envelope {
+            from: self.me,
+            to,
+            term: self.term,
+            message,
+        };
         if self.disk.is_hard_durable() {
             self.out.push(Action::Send(envelope));
             return;
@@ -174,7 +192,12 @@
         }
         disk.serial += 1;
         let commit = self.commit.min(last);
-        let hard = Hard { life: self.me.life, term: self.term, vote: self.vote, commit };
+        let hard = Hard {
+            life: self.me.life,
+            term: self.term,
+            vote: self.vote,
+            commit,
+        };
         let snapshot = self.log.snapshot().filter(|_| disk.snapshot_due).cloned();
         let cut_from = disk.durable.max(self.log.base()) + 1;
         disk.writing = Some(Writing {
@@ -186,21 +209,43 @@
             commit,
         });
         let entries = self.log.since(cut_from).cloned().collect();
-        let batch = Batch { hard, snapshot, drop_to: self.log.base(), cut_from, entries };
-        self.out.push(Action::Write { serial: disk.serial, batch });
+        let batch = Batch {
+            hard,
+            snapshot,
+            drop_to: self.log.base(),
+            cut_from,
+            entries,
+        };
+        self.out.push(Action::Write {
+            serial: disk.serial,
+            batch,
+        });
     }
 
     pub(crate) fn synced(&mut self, serial: u64) {
-        let Some(writing) = self.disk.writing.take_if(|writing| writing.serial == serial) else { return };
+        let Some(writing) = self
+            .disk
+            .writing
+            .take_if(|writing| writing.serial == serial)
+        else {
+            return;
+        };
         let disk = &mut self.disk;
         disk.refused_at = None;
         disk.durable_version = writing.version;
-        disk.durable = disk.durable.max(writing.last).max(writing.snapshot.unwrap_or(0));
+        disk.durable = disk
+            .durable
+            .max(writing.last)
+            .max(writing.snapshot.unwrap_or(0));
         disk.durable_commit = disk.durable_commit.max(writing.commit);
         if writing.snapshot == Some(self.log.snapshot_index()) {
             disk.snapshot_due = false;
         }
-        while disk.held.front().is_some_and(|(version, _)| *version <= writing.version) {
+        while disk
+            .held
+            .front()
+            .is_some_and(|(version, _)| *version <= writing.version)
+        {
             let (_, envelope) = disk.held.pop_front().expect("looked at");
             if envelope.term == self.term {
                 self.out.push(Action::Send(envelope));
@@ -210,7 +255,12 @@
     }
 
     pub(crate) fn refused(&mut self, serial: u64) {
-        if self.disk.writing.take_if(|writing| writing.serial == serial).is_none() {
+        if self
+            .disk
+            .writing
+            .take_if(|writing| writing.serial == serial)
+            .is_none()
+        {
             return;
         }
         self.disk.refused_at = Some(self.now);
--- a/crates/raft/src/read_index.rs
+++ b/crates/raft/src/read_index.rs
@@ -40,7 +40,12 @@
     /// A beat goes out: it answers for all reads that came before.
     pub(crate) fn beaten(&mut self, round: u64, now: Micros) {
         self.beats.push_back((round, now));
-        for read in self.reads.iter_mut().rev().take_while(|read| read.beat.is_none()) {
+        for read in self
+            .reads
+            .iter_mut()
+            .rev()
+            .take_while(|read| read.beat.is_none())
+        {
             read.beat = Some(round);
         }
     }
@@ -56,7 +61,12 @@
             return self.done(ticket, Outcome::NotLeader { hint: None });
         }
         let Some(lead) = &mut self.lead else {
-            return self.done(ticket, Outcome::NotLeader { hint: self.leader() });
+            return self.done(
+                ticket,
+                Outcome::NotLeader {
+                    hint: self.leader(),
+                },
+            );
         };
         let questions = &mut lead.questions;
         let full = questions.proposals.len() >= MOST_PROPOSALS
@@ -68,12 +78,20 @@
         let mut rest = &command[..];
         while rest.len() > PIECE {
             let (piece, after) = rest.split_at(PIECE);
-            self.append(Payload::Command { more: true, bytes: piece.to_vec() });
+            self.append(Payload::Command {
+                more: true,
+                bytes: piece.to_vec(),
+            });
             rest = after;
         }
-        let index = self.append(Payload::Command { more: false, bytes: rest.to_vec() });
+        let index = self.append(Payload::Command {
+            more: false,
+            bytes: rest.to_vec(),
+        });
         if let Some(lead) = &mut self.lead {
-            lead.questions.proposals.push_back((index, ticket, command.len()));
+            lead.questions
+                .proposals
+                .push_back((index, ticket, command.len()));
         }
     }
 
@@ -81,10 +99,17 @@
     pub(crate) fn answer_committed(&mut self) {
         let Some(lead) = &mut self.lead else { return };
         let questions = &mut lead.questions;
-        while questions.proposals.front().is_some_and(|(index, _, _)| *index <= self.applied) {
+        while questions
+            .proposals
+            .front()
+            .is_some_and(|(index, _, _)| *index <= self.applied)
+        {
             let (index, ticket, bytes) = questions.proposals.pop_front().expect("looked at");
             questions.bytes -= bytes;
-            self.out.push(Action::Done { ticket, outcome: Outcome::Committed { index } });
+            self.out.push(Action::Done {
+                ticket,
+                outcome: Outcome::Committed { index },
+            });
         }
     }
 
@@ -99,14 +124,23 @@
 
     pub(crate) fn read(&mut self, ticket: u64) {
         let Some(lead) = &mut self.lead else {
-            return self.done(ticket, Outcome::NotLeader { hint: self.leader() });
+            return self.done(
+                ticket,
+                Outcome::NotLeader {
+                    hint: self.leader(),
+                },
+            );
         };
         if lead.questions.reads.len() >= MOST_READS {
             return self.done(ticket, Outcome::Overloaded);
         }
         // What was acknowledged by earlier leaders is known to be committed once the first entry of this one is.
         let index = self.commit.max(lead.first);
-        lead.questions.reads.push_back(Waiting { ticket, beat: None, index });
+        lead.questions.reads.push_back(Waiting {
+            ticket,
+            beat: None,
+            index,
+        });
     }
 
     /// Answers reads whose beat came back from a majority, and sends a beat for those that have none.
@@ -120,20 +154,37 @@
         let answered = self.roll.agreed(self.commit, answered);
         let questions = &mut lead.questions;
         questions.answered = questions.answered.max(answered);
-        while questions.beats.front().is_some_and(|(round, _)| *round < questions.answered) {
+        while questions
+            .beats
+            .front()
+            .is_some_and(|(round, _)| *round < questions.answered)
+        {
             questions.beats.pop_front();
         }
         let ready = |read: &Waiting| {
             read.beat.is_some_and(|beat| beat <= questions.answered) && read.index <= self.applied
         };
-        let count = questions.reads.iter().take_while(|read| ready(read)).count();
+        let count = questions
+            .reads
+            .iter()
+            .take_while(|read| ready(read))
+            .count();
         for read in questions.reads.drain(..count) {
             let outcome = Outcome::Committed { index: read.index };
-            self.out.push(Action::Done { ticket: read.ticket, outcome });
+            self.out.push(Action::Done {
+                ticket: read.ticket,
+                outcome,
+            });
         }
-        let waits = questions.reads.back().is_some_and(|read| read.beat.is_none());
+        let waits = questions
+            .reads
+            .back()
+            .is_some_and(|read| read.beat.is_none());
         let quiet = questions.answered >= round
-            || questions.beats.back().is_none_or(|(_, at)| self.now >= at + READ_WAIT);
+            || questions
+                .beats
+                .back()
+                .is_none_or(|(_, at)| self.now >= at + READ_WAIT);
         if waits && quiet {
             self.beat();
             // A machine that votes alone needs no answers.
@@ -144,9 +195,15 @@
     /// The lease of this leadership: before this time nobody else can lead. A majority has answered a beat sent 300 ms
     /// before it, and refuses votes to others for longer. None: this machine does not lead, or nobody has answered yet.
     pub fn lease(&self) -> Option<Micros> {
-        let lead = self.lead.as_ref().filter(|lead| self.commit >= lead.first)?;
+        let lead = self
+            .lead
+            .as_ref()
+            .filter(|lead| self.commit >= lead.first)?;
         let questions = &lead.questions;
-        let sent = questions.beats.front().filter(|(round, _)| *round == questions.answered);
+        let sent = questions
+            .beats
+            .front()
+            .filter(|(round, _)| *round == questions.answered);
         sent.map(|(_, at)| at + LEASE)
     }
 
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -62,7 +62,9 @@
     /// reaches this one.
     fn is_succeeded(&self, seat: &Seat) -> bool {
         let answers = |other: &Seat| self.peers.get(other).is_some_and(|peer| peer.round > 0);
-        self.learners.iter().any(|other| other.address == seat.address && other != seat && answers(other))
+        self.learners
+            .iter()
+            .any(|other| other.address == seat.address && other != seat && answers(other))
     }
 }
 
@@ -105,7 +107,11 @@
     fn advance(&mut self, matched: Index) {
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched + 1);
-        while self.flying.front().is_some_and(|(last, _)| *last <= self.matched) {
+        while self
+            .flying
+            .front()
+            .is_some_and(|(last, _)| *last <= self.matched)
+        {
             self.flying.pop_front();
         }
     }
@@ -144,7 +150,11 @@
 impl Core {
     /// Puts an entry of this term at the end of the log.
     pub(crate) fn append(&mut self, payload: Payload) -> Index {
-        let entry = Entry { index: self.log.last() + 1, term: self.term, payload };
+        let entry = Entry {
+            index: self.log.last() + 1,
+            term: self.term,
+            payload,
+        };
         self.roll.note(&entry);
         self.log.push(entry);
         self.log.last()
@@ -158,7 +168,8 @@
         lead.aim = self.commit;
         lead.questions.beaten(lead.round, self.now);
         let learners = lead.learners.len();
-        lead.learners.retain(|seat| self.now < lead.peers[seat].heard_at + LEARNER_GONE);
+        lead.learners
+            .retain(|seat| self.now < lead.peers[seat].heard_at + LEARNER_GONE);
         if lead.learners.len() < learners {
             self.seat_peers();
         }
@@ -170,11 +181,24 @@
                 continue;
             }
             // Where the snapshot is under way, `prev` is what all logs agree on.
-            let prev = if let Mode::Fill(_) = peer.mode { 0 } else { peer.next - 1 };
+            let prev = if let Mode::Fill(_) = peer.mode {
+                0
+            } else {
+                peer.next - 1
+            };
             let (prev, prev_term) = self.log.term_at(prev).map_or((0, 0), |term| (prev, term));
             let commit = self.commit;
             let round = lead.round;
-            messages.push((*seat, Message::Append { round, prev, prev_term, commit, entries: Vec::new() }));
+            messages.push((
+                *seat,
+                Message::Append {
+                    round,
+                    prev,
+                    prev_term,
+                    commit,
+                    entries: Vec::new(),
+                },
+            ));
         }
         for (seat, message) in messages {
             self.send(seat, message);
@@ -186,7 +210,12 @@
     /// Sends each follower what it lacks, as far as there is room.
     pub(crate) fn pump(&mut self) {
         let Some(lead) = &mut self.lead else { return };
-        let seats: Vec<Seat> = lead.peers.keys().copied().filter(|seat| !lead.is_succeeded(seat)).collect();
+        let seats: Vec<Seat> = lead
+            .peers
+            .keys()
+            .copied()
+            .filter(|seat| !lead.is_succeeded(seat))
+            .collect();
         let mut messages = Vec::new();
         for seat in seats {
             let peer = lead.peers.get_mut(&seat).expect("listed");
@@ -196,19 +225,32 @@
             while peer.has_room() && peer.next <= self.log.last() {
                 let prev = peer.next - 1;
                 let Some(prev_term) = self.log.term_at(prev) else {
-                    let snapshot = self.log.snapshot().expect("what is dropped is in the snapshot");
+                    let snapshot = self
+                        .log
+                        .snapshot()
+                        .expect("what is dropped is in the snapshot");
                     peer.flying.clear();
                     peer.mode = Mode::Fill(Filling::begin(snapshot.clone(), self.now));
                     break;
                 };
                 let entries = self.log.piece(peer.next);
                 peer.next += entries.len() as u64;
-                peer.flying.push_back((peer.next - 1, entries.iter().map(Entry::weight).sum()));
+                peer.flying
+                    .push_back((peer.next - 1, entries.iter().map(Entry::weight).sum()));
                 if let Mode::Probe { asked } = &mut peer.mode {
                     *asked = true;
                 }
                 let (commit, round) = (self.commit, lead.round);
-                messages.push((seat, Message::Append { round, prev, prev_term, commit, entries }));
+                messages.push((
+                    seat,
+                    Message::Append {
+                        round,
+                        prev,
+                        prev_term,
+                        commit,
+                        entries,
+                    },
+                ));
             }
             if let Mode::Fill(filling) = &mut peer.mode {
                 messages.extend(filling.pieces().into_iter().map(|piece| (seat, piece)));
@@ -231,14 +273,29 @@
         // What is committed here agrees with every leader's log, kept or not.
         let agrees = prev <= self.commit || self.log.term_at(prev) == Some(prev_term);
         if !agrees {
-            let missing = if prev > self.log.last() { self.log.last() } else { self.log.before_run(prev) };
+            let missing = if prev > self.log.last() {
+                self.log.last()
+            } else {
+                self.log.before_run(prev)
+            };
             self.following.round = self.following.round.max(round);
             let matched = self.matched();
-            self.send(from, Message::AppendReply { round, matched, missing: Some(missing) });
+            self.send(
+                from,
+                Message::AppendReply {
+                    round,
+                    matched,
+                    missing: Some(missing),
+                },
+            );
             return;
         }
         let upto = prev + entries.len() as u64;
-        if !entries.iter().zip(prev + 1..).all(|(entry, index)| entry.index == index) {
+        if !entries
+            .iter()
+            .zip(prev + 1..)
+            .all(|(entry, index)| entry.index == index)
+        {
             return;
         }
         for entry in entries {
@@ -286,7 +343,14 @@
         let matched = self.matched();
         self.following.told = matched;
         let round = self.following.round;
-        self.send(leader, Message::AppendReply { round, matched, missing: None });
+        self.send(
+            leader,
+            Message::AppendReply {
+                round,
+                matched,
+                missing: None,
+            },
+        );
     }
 
     /// The disk has completed a write: tells the leader if that moved what it counts.
@@ -298,9 +362,17 @@
         }
     }
 
-    pub(crate) fn on_append_reply(&mut self, from: Seat, round: u64, matched: Index, missing: Option<Index>) {
+    pub(crate) fn on_append_reply(
+        &mut self,
+        from: Seat,
+        round: u64,
+        matched: Index,
+        missing: Option<Index>,
+    ) {
         let Some(lead) = &mut self.lead else { return };
-        let Some(peer) = lead.peers.get_mut(&from) else { return };
+        let Some(peer) = lead.peers.get_mut(&from) else {
+            return;
+        };
         peer.heard_at = self.now;
         peer.round = peer.round.max(round);
         peer.advance(matched);
--- a/crates/raft/src/snapshot_transfer.rs
+++ b/crates/raft/src/snapshot_transfer.rs
@@ -23,7 +23,14 @@
 
 impl Filling {
     pub(crate) fn begin(snapshot: Arc<Snapshot>, now: Micros) -> Filling {
-        Filling { snapshot, sent: 0, received: 0, begun: false, moved_at: now, rewound: None }
+        Filling {
+            snapshot,
+            sent: 0,
+            received: 0,
+            begun: false,
+            moved_at: now,
+            rewound: None,
+        }
     }
 
     pub(crate) fn index(&self) -> Index {
@@ -80,9 +87,13 @@
 
     pub(crate) fn on_fill_reply(&mut self, from: Seat, index: Index, have: u64, gap: bool) {
         let Some(lead) = &mut self.lead else { return };
-        let Some(peer) = lead.peers.get_mut(&from) else { return };
+        let Some(peer) = lead.peers.get_mut(&from) else {
+            return;
+        };
         peer.heard_at = self.now;
-        let Mode::Fill(filling) = &mut peer.mode else { return };
+        let Mode::Fill(filling) = &mut peer.mode else {
+            return;
+        };
         let have = have as usize;
         if filling.index() != index || have > filling.sent {
             return;
@@ -118,8 +129,14 @@
         if total > MOST_BYTES {
             return;
         }
-        let begun = self.following.incoming.take_if(|incoming| incoming.index == index);
-        let mut incoming = begun.unwrap_or_else(|| Incoming { index, bytes: Vec::new() });
+        let begun = self
+            .following
+            .incoming
+            .take_if(|incoming| incoming.index == index);
+        let mut incoming = begun.unwrap_or_else(|| Incoming {
+            index,
+            bytes: Vec::new(),
+        });
         let have = incoming.bytes.len() as u64;
         let gap = offset > have;
         if offset == have {
@@ -129,7 +146,12 @@
         if have < total || gap {
             self.following.incoming = Some(incoming);
         } else {
-            self.install(Snapshot { index, term, members, state: incoming.bytes });
+            self.install(Snapshot {
+                index,
+                term,
+                members,
+                state: incoming.bytes,
+            });
         }
         self.send(from, Message::FillReply { index, have, gap });
     }
--- a/crates/raft/tests/compaction.rs
+++ b/crates/raft/tests/compaction.rs
@@ -12,10 +12,20 @@
 impl Alone {
     fn founded() -> Alone {
         let me = "10.0.0.1:7720".parse().expect("an address");
-        let start =
-            Start { me, seeds: vec![me], first_run: true, seed: 1, withstand: 0, catch_up: 4_000_000 };
+        let start = Start {
+            me,
+            seeds: vec![me],
+            first_run: true,
+            seed: 1,
+            withstand: 0,
+            catch_up: 4_000_000,
+        };
         let (core, actions) = Core::start(0, start, Stored::default());
-        let mut alone = Alone { now: 0, core, state: Vec::new() };
+        let mut alone = Alone {
+            now: 0,
+            core,
+            state: Vec::new(),
+        };
         alone.carry_out(actions, true);
         while !alone.core.leads(alone.now) {
             alone.now = alone.core.next_wake().max(alone.now + 1);
@@ -40,7 +50,10 @@
     }
 
     fn compact(&mut self) {
-        let event = Event::Compact { index: self.core.applied(), state: self.state.clone() };
+        let event = Event::Compact {
+            index: self.core.applied(),
+            state: self.state.clone(),
+        };
         self.step(event, true);
     }
 }
@@ -51,14 +64,29 @@
 fn a_compaction_is_never_wanted_again_at_once() {
     for bytes in [3 << 20, 5 << 20, 15 << 20] {
         let mut alone = Alone::founded();
-        alone.step(Event::Propose { ticket: 1, command: b"small".to_vec() }, true);
+        alone.step(
+            Event::Propose {
+                ticket: 1,
+                command: b"small".to_vec(),
+            },
+            true,
+        );
         alone.compact();
         // On its way to the disk.
-        alone.step(Event::Propose { ticket: 2, command: vec![7; bytes] }, false);
+        alone.step(
+            Event::Propose {
+                ticket: 2,
+                command: vec![7; bytes],
+            },
+            false,
+        );
         if alone.core.wants_compact() {
             alone.compact();
         }
-        assert!(!alone.core.wants_compact(), "{bytes} bytes under way, and the log can't be shorter");
+        assert!(
+            !alone.core.wants_compact(),
+            "{bytes} bytes under way, and the log can't be shorter"
+        );
     }
 }
 
@@ -69,7 +97,13 @@
         let mut alone = Alone::founded();
         let mut compactions = 0;
         for ticket in 0..2_000_000_000 / (bytes as u64 + 1_000_000) {
-            alone.step(Event::Propose { ticket, command: vec![ticket as u8; bytes] }, true);
+            alone.step(
+                Event::Propose {
+                    ticket,
+                    command: vec![ticket as u8; bytes],
+                },
+                true,
+            );
             assert!(alone.state.len() == bytes, "applied");
             if alone.core.wants_compact() {
                 alone.compact();
@@ -78,7 +112,13 @@
             }
         }
         let weighed = 2_000_000_000 / (bytes as u64 + 1_000_000) * bytes as u64;
-        assert!(compactions <= weighed / (4 << 20) + 1, "{compactions} for {weighed} bytes");
-        assert!(bytes < 1000 || compactions > 100, "{compactions} for {weighed} bytes");
+        assert!(
+            compactions <= weighed / (4 << 20) + 1,
+            "{compactions} for {weighed} bytes"
+        );
+        assert!(
+            bytes < 1000 || compactions > 100,
+            "{compactions} for {weighed} bytes"
+        );
     }
 }
--- a/crates/raft/tests/three.rs
+++ b/crates/raft/tests/three.rs
@@ -1,7 +1,8 @@
 //! Three machines on a perfect network whose disks sync at once. Faults are played in the raft-simulation.
 
 use magpieline_raft::{
-    Action, Core, Entry, Envelope, Event, Message, Micros, Outcome, Payload, Role, Seat, Start, Stored,
+    Action, Core, Entry, Envelope, Event, Message, Micros, Outcome, Payload, Role, Seat, Start,
+    Stored,
 };
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -43,7 +44,9 @@
             };
             let (core, actions) = Core::start(0, start, Stored::default());
             three.cores.push(core);
-            three.due.extend(actions.into_iter().map(|action| (machine, action)));
+            three
+                .due
+                .extend(actions.into_iter().map(|action| (machine, action)));
         }
         three.run_for(1_000_000);
         three
@@ -51,7 +54,8 @@
 
     fn give(&mut self, machine: usize, event: Event) {
         let actions = self.cores[machine].step(self.now, event);
-        self.due.extend(actions.into_iter().map(|action| (machine, action)));
+        self.due
+            .extend(actions.into_iter().map(|action| (machine, action)));
     }
 
     fn run_for(&mut self, span: Micros) {
@@ -72,7 +76,9 @@
     fn carry_out(&mut self, machine: usize, action: Action) {
         match action {
             Action::Send(envelope) => {
-                let to = (0..3).find(|to| address(*to) == envelope.to.address).unwrap();
+                let to = (0..3)
+                    .find(|to| address(*to) == envelope.to.address)
+                    .unwrap();
                 self.give(to, Event::Receive(envelope));
             }
             Action::Write { serial, batch } => {
@@ -86,7 +92,9 @@
     }
 
     fn leader(&self) -> usize {
-        (0..3).find(|machine| self.cores[*machine].role() == Role::Leader).expect("a leader")
+        (0..3)
+            .find(|machine| self.cores[*machine].role() == Role::Leader)
+            .expect("a leader")
     }
 }
 
@@ -96,10 +104,28 @@
     let mut three = Three::founded();
     let leader = three.leader();
     let long: Vec<u8> = (0..200_000u32).map(|at| at as u8).collect();
-    three.give(leader, Event::Propose { ticket: 1, command: b"first".to_vec() });
-    three.give(leader, Event::Propose { ticket: 2, command: long.clone() });
+    three.give(
+        leader,
+        Event::Propose {
+            ticket: 1,
+            command: b"first".to_vec(),
+        },
+    );
+    three.give(
+        leader,
+        Event::Propose {
+            ticket: 2,
+            command: long.clone(),
+        },
+    );
     three.give(leader, Event::Read { ticket: 3 });
-    three.give((leader + 1) % 3, Event::Propose { ticket: 4, command: b"elsewhere".to_vec() });
+    three.give(
+        (leader + 1) % 3,
+        Event::Propose {
+            ticket: 4,
+            command: b"elsewhere".to_vec(),
+        },
+    );
     three.run_for(300_000);
     for applied in &three.applied {
         assert_eq!(*applied, [b"first".to_vec(), long.clone()]);
@@ -107,10 +133,13 @@
     let hint = Some(address(leader));
     assert!(three.done.contains(&(4, Outcome::NotLeader { hint })));
     for ticket in 1..=3 {
-        assert!(three
-            .done
-            .iter()
-            .any(|(done, outcome)| *done == ticket && matches!(outcome, Outcome::Committed { .. })));
+        assert!(
+            three
+                .done
+                .iter()
+                .any(|(done, outcome)| *done == ticket
+                    && matches!(outcome, Outcome::Committed { .. }))
+        );
     }
     assert!(three.cores[leader].leads(three.now));
 }
@@ -121,11 +150,23 @@
     let mut three = Three::founded();
     let leader = three.leader();
     for ticket in 0..5 {
-        three.give(leader, Event::Propose { ticket, command: vec![ticket as u8] });
+        three.give(
+            leader,
+            Event::Propose {
+                ticket,
+                command: vec![ticket as u8],
+            },
+        );
         three.run_for(200_000);
     }
     let index = three.cores[leader].applied() - 2;
-    three.give(leader, Event::Compact { index, state: b"0 to 2".to_vec() });
+    three.give(
+        leader,
+        Event::Compact {
+            index,
+            state: b"0 to 2".to_vec(),
+        },
+    );
     // A change of term has the commit written, too.
     three.run_for(200_000);
     three.give(leader, Event::GiveWay);
@@ -154,7 +195,14 @@
     let founded = Three::founded();
     let start = |i: usize, seed| {
         let (me, seeds) = (address(i), Vec::new());
-        let start = Start { me, seeds, first_run: false, seed, withstand: 1, catch_up: 4_000_000 };
+        let start = Start {
+            me,
+            seeds,
+            first_run: false,
+            seed,
+            withstand: 1,
+            catch_up: 4_000_000,
+        };
         Core::start(0, start, founded.stored[i].clone()).0
     };
     let probed = |core: &mut Core| {
@@ -177,18 +225,36 @@
     let asked = probed(&mut one);
     let said = carry(asked.clone(), &mut two);
     carry(said, &mut one);
-    assert_eq!(one.role(), Role::PreCandidate, "two of three have restarted: the third may lead");
+    assert_eq!(
+        one.role(),
+        Role::PreCandidate,
+        "two of three have restarted: the third may lead"
+    );
     let said = carry(asked, &mut three);
     let asked = carry(said, &mut one);
     assert_eq!(one.role(), Role::Candidate);
     // Its requests wait for its disk.
     let write = |actions: &[Action]| {
-        actions.iter().find_map(|a| if let Action::Write { serial, .. } = a { Some(*serial) } else { None })
+        actions.iter().find_map(|a| {
+            if let Action::Write { serial, .. } = a {
+                Some(*serial)
+            } else {
+                None
+            }
+        })
     };
-    let requests = one.step(0, Event::Synced { serial: write(&asked).expect("a write") });
+    let requests = one.step(
+        0,
+        Event::Synced {
+            serial: write(&asked).expect("a write"),
+        },
+    );
     let voted = |core: &mut Core| write(&carry(requests.clone(), core)).is_some();
     assert!(voted(&mut two));
-    assert!(!voted(&mut start(2, 14)), "another start of the third said nothing");
+    assert!(
+        !voted(&mut start(2, 14)),
+        "another start of the third said nothing"
+    );
     assert!(voted(&mut three));
 }
 
@@ -205,8 +271,15 @@
         let mut stored = Three::founded().stored.swap_remove(0);
         let term = stored.hard.unwrap().term;
         let index = stored.entries.last().unwrap().index + 1;
-        let payload = Payload::Command { more: false, bytes: b"old".to_vec() };
-        stored.entries.push(Entry { index, term, payload });
+        let payload = Payload::Command {
+            more: false,
+            bytes: b"old".to_vec(),
+        };
+        stored.entries.push(Entry {
+            index,
+            term,
+            payload,
+        });
         let start = Start {
             me: address(0),
             seeds: Vec::new(),
@@ -216,30 +289,65 @@
             catch_up: 4_000_000,
         };
         let (core, _) = Core::start(0, start, stored);
-        let mut led = Led { core, term, serial: 0 };
+        let mut led = Led {
+            core,
+            term,
+            serial: 0,
+        };
         // By then it has kept to what it may have promised a leader before its restart.
         led.core.step(800_000, Event::Tick);
-        led.hear(1, 0, Message::PreVoteReply { next_term: term + 1, granted: true });
+        led.hear(
+            1,
+            0,
+            Message::PreVoteReply {
+                next_term: term + 1,
+                granted: true,
+            },
+        );
         led.sync();
         led.term += 1;
         led.hear(1, 0, Message::VoteReply { granted: true });
-        assert_eq!((led.core.role(), led.core.last()), (Role::Leader, index + 1));
+        assert_eq!(
+            (led.core.role(), led.core.last()),
+            (Role::Leader, index + 1)
+        );
         led
     }
 
     fn hear(&mut self, machine: usize, life: u64, message: Message) {
-        let from = Seat { address: address(machine), life };
-        let envelope = Envelope { from, to: self.core.me(), term: self.term, message };
+        let from = Seat {
+            address: address(machine),
+            life,
+        };
+        let envelope = Envelope {
+            from,
+            to: self.core.me(),
+            term: self.term,
+            message,
+        };
         self.core.step(0, Event::Receive(envelope));
     }
 
     fn hear_matched(&mut self, machine: usize, life: u64, matched: u64) {
-        self.hear(machine, life, Message::AppendReply { round: 1, matched, missing: None });
+        self.hear(
+            machine,
+            life,
+            Message::AppendReply {
+                round: 1,
+                matched,
+                missing: None,
+            },
+        );
     }
 
     fn sync(&mut self) {
         self.serial += 1;
-        self.core.step(0, Event::Synced { serial: self.serial });
+        self.core.step(
+            0,
+            Event::Synced {
+                serial: self.serial,
+            },
+        );
     }
 }
 
@@ -265,10 +373,17 @@
     let last = led.core.last();
     led.hear(2, 9, Message::Ask { last: 0 });
     led.hear_matched(2, 9, last);
-    assert_eq!(led.core.last(), last, "no change before an entry of this term is in force");
+    assert_eq!(
+        led.core.last(),
+        last,
+        "no change before an entry of this term is in force"
+    );
     led.hear_matched(1, 0, last);
     assert_eq!((led.core.commit(), led.core.last()), (last, last + 1));
-    assert!(led.core.voters().contains(&Seat { address: address(2), life: 9 }));
+    assert!(led.core.voters().contains(&Seat {
+        address: address(2),
+        life: 9
+    }));
     led.sync();
     led.hear_matched(2, 9, last + 1);
     assert_eq!(led.core.commit(), last);
@@ -295,9 +410,23 @@
     core.step(now, Event::Synced { serial: 2 });
     core.step(now, Event::Synced { serial: 3 });
     let done = |actions: Vec<Action>| {
-        actions.iter().any(|action| matches!(action, Action::Done { outcome: Outcome::Committed { .. }, .. }))
+        actions.iter().any(|action| {
+            matches!(
+                action,
+                Action::Done {
+                    outcome: Outcome::Committed { .. },
+                    ..
+                }
+            )
+        })
     };
-    core.step(now, Event::Propose { ticket: 1, command: Vec::new() });
+    core.step(
+        now,
+        Event::Propose {
+            ticket: 1,
+            command: Vec::new(),
+        },
+    );
     assert!(done(core.step(now, Event::Synced { serial: 4 })));
     assert!(done(core.step(now, Event::Read { ticket: 2 })));
 }
--- a/crates/resp-listener/examples/node.rs
+++ b/crates/resp-listener/examples/node.rs
@@ -16,7 +16,9 @@
         reader.feed(&piece);
         while let Some(words) = reader.command().map_err(|e| std::io::Error::other(e.0))? {
             let reply = match (&words[0][..], words.get(1)) {
-                (b"HELLO", _) => Value::Map(vec![(Value::Simple("proto".into()), Value::Integer(3))]),
+                (b"HELLO", _) => {
+                    Value::Map(vec![(Value::Simple("proto".into()), Value::Integer(3))])
+                }
                 (b"GET", Some(key)) => Value::Bulk(key.clone()),
                 _ => Value::Simple(Bytes::from_static(b"OK")),
             };
@@ -28,7 +30,9 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> std::io::Result<()> {
-    let at = std::env::args().nth(1).unwrap_or_else(|| "127.0.0.1:6500".into());
+    let at = std::env::args()
+        .nth(1)
+        .unwrap_or_else(|| "127.0.0.1:6500".into());
     let listener = TcpListener::bind(&at).await?;
     println!("a stand-in node at {}", listener.local_addr()?);
     tokio::task::LocalSet::new()
--- a/crates/resp-listener/examples/press.rs
+++ b/crates/resp-listener/examples/press.rs
@@ -15,12 +15,16 @@
 ) -> std::io::Result<(u64, u64, Vec<f64>)> {
     let mut stream = TcpStream::connect(at).await?;
     stream.set_nodelay(true)?;
-    let (mut reader, mut hits, mut errors, mut times) = (Reader::new(Bounds::default()), 0, 0, Vec::new());
+    let (mut reader, mut hits, mut errors, mut times) =
+        (Reader::new(Bounds::default()), 0, 0, Vec::new());
     while Instant::now() < until {
         let mut out = BytesMut::new();
         for i in 0..depth {
             let key = format!("k{}", (number * 31 + i * 7 + hits as usize) % 997);
-            let words = vec![Value::Bulk(Bytes::from_static(b"GET")), Value::Bulk(key.into())];
+            let words = vec![
+                Value::Bulk(Bytes::from_static(b"GET")),
+                Value::Bulk(key.into()),
+            ];
             Value::Array(words).write(Version::Two, &mut out);
         }
         let begun = Instant::now();
@@ -45,11 +49,21 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> std::io::Result<()> {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    let number = |i: usize, otherwise| words.get(i).and_then(|w| w.parse().ok()).unwrap_or(otherwise);
-    let at = words.first().cloned().unwrap_or_else(|| "127.0.0.1:6380".into());
+    let number = |i: usize, otherwise| {
+        words
+            .get(i)
+            .and_then(|w| w.parse().ok())
+            .unwrap_or(otherwise)
+    };
+    let at = words
+        .first()
+        .cloned()
+        .unwrap_or_else(|| "127.0.0.1:6380".into());
     let (connections, depth, seconds) = (number(1, 16), number(2, 1), number(3, 5));
     let until = Instant::now() + Duration::from_secs(seconds as u64);
-    let all = (0..connections).map(|n| tokio::spawn(press(at.clone(), n, depth, until))).collect::<Vec<_>>();
+    let all = (0..connections)
+        .map(|n| tokio::spawn(press(at.clone(), n, depth, until)))
+        .collect::<Vec<_>>();
     let (mut hits, mut errors, mut times) = (0, 0, Vec::new());
     for one in all {
         let (h, e, t) = one.await.map_err(std::io::Error::other)??;
@@ -57,7 +71,13 @@
         times.extend(t);
     }
     times.sort_by(f64::total_cmp);
-    let at = |part: f64| times.get((times.len() as f64 * part) as usize).copied().unwrap_or(f64::NAN) * 1e3;
+    let at = |part: f64| {
+        times
+            .get((times.len() as f64 * part) as usize)
+            .copied()
+            .unwrap_or(f64::NAN)
+            * 1e3
+    };
     println!(
         "{hits} hits, {errors} errors, {} a second, batch p50 {:.2} ms, p99 {:.2} ms",
         hits / seconds as u64,
--- a/crates/resp-listener/src/faults.rs
+++ b/crates/resp-listener/src/faults.rs
@@ -56,11 +56,18 @@
             return;
         }
         let key = words.get(1).cloned().unwrap_or_default();
-        let first = *counted.marked.borrow_mut().entry(key.clone()).or_insert_with(Instant::now);
+        let first = *counted
+            .marked
+            .borrow_mut()
+            .entry(key.clone())
+            .or_insert_with(Instant::now);
         if words[0] == "SET" || words[0] == "BOOK" && counted.ran(&key) == 0 {
             *counted.runs.borrow_mut().entry(key.clone()).or_default() += 1;
         } else if words[0] == "BOOK" {
-            assert!(first.elapsed() < WINDOW, "a repeat that nodes no longer know");
+            assert!(
+                first.elapsed() < WINDOW,
+                "a repeat that nodes no longer know"
+            );
             counted.fault("repeat known by its mark");
         }
         let mut out = BytesMut::new();
@@ -139,14 +146,25 @@
                 text.truncate(chance.gen_range(1..text.len()));
             }
             stream.write_all(&text).await.expect("sent");
-            let answers = if leaves { chance.gen_range(0..batch.len()) } else { batch.len() };
+            let answers = if leaves {
+                chance.gen_range(0..batch.len())
+            } else {
+                batch.len()
+            };
             for (i, (name, key)) in batch.iter().enumerate() {
                 // The cut may have left fewer whole ones than answers were drawn: then nothing more comes.
-                let answer = if i < answers { answer(&mut stream, &mut reader).await } else { None };
+                let answer = if i < answers {
+                    answer(&mut stream, &mut reader).await
+                } else {
+                    None
+                };
                 match answer {
                     Some(Value::Bulk(word)) => {
                         assert_eq!(&word, key, "another's reply");
-                        assert!(*name == "GET" || counted.ran(key) >= 1, "delivered, yet it never ran");
+                        assert!(
+                            *name == "GET" || counted.ran(key) >= 1,
+                            "delivered, yet it never ran"
+                        );
                         told.delivered += 1;
                     }
                     Some(Value::Error(text)) if text.starts_with(b"TRYAGAIN") => {
@@ -177,7 +195,8 @@
             return Some(value);
         }
         let mut piece = BytesMut::with_capacity(64 << 10);
-        let read = tokio::time::timeout(Duration::from_millis(1700), stream.read_buf(&mut piece)).await;
+        let read =
+            tokio::time::timeout(Duration::from_millis(1700), stream.read_buf(&mut piece)).await;
         match read {
             Ok(Ok(n)) if n > 0 => reader.feed(&piece),
             _ => return None,
@@ -222,11 +241,17 @@
         counted.commands.get(),
         counted.runs.borrow().len()
     );
-    assert_eq!(told.delivered + told.bounced + told.failed + told.left, many / 16 * 16);
+    assert_eq!(
+        told.delivered + told.bounced + told.failed + told.left,
+        many / 16 * 16
+    );
     assert!(told.delivered > many / 2, "{told:?}");
     assert!(faults.len() >= 9, "{faults:?}");
     let runs = counted.runs.borrow();
-    assert!(runs.len() as u64 > many / 4 && runs.values().all(|n| *n == 1), "one ran twice");
+    assert!(
+        runs.len() as u64 > many / 4 && runs.values().all(|n| *n == 1),
+        "one ran twice"
+    );
 }
 
 #[test]
--- a/crates/resp-listener/src/front.rs
+++ b/crates/resp-listener/src/front.rs
@@ -29,8 +29,13 @@
 /// A part of what a client sends, read at once.
 const PIECE: usize = 16 << 10;
 /// What a command may be: strings in an array, of the size of a hit's body at most, and a little more in all.
-const COMMAND: Bounds =
-    Bounds { depth: 1, values: 1024, string: 64 << 10, line: 64 << 10, message: 128 << 10 };
+const COMMAND: Bounds = Bounds {
+    depth: 1,
+    values: 1024,
+    string: 64 << 10,
+    line: 64 << 10,
+    message: 128 << 10,
+};
 /// Commands that speak of a connection's state or wait on it, which a hit can't: refused by name unless a row allows one.
 const REFUSED: [&str; 18] = [
     "MULTI",
@@ -76,7 +81,14 @@
         password: Option<String>,
     ) -> Front {
         let place = crowd.join(weight);
-        Front { exchange, crowd, place, table, password, next: Cell::new(1) }
+        Front {
+            exchange,
+            crowd,
+            place,
+            table,
+            password,
+            next: Cell::new(1),
+        }
     }
 
     fn number(&self) -> u64 {
@@ -127,8 +139,13 @@
     let mut owed: FuturesOrdered<Owed> = FuturesOrdered::new();
     let gone = Rc::new(Signal::default());
     let known = front.password.is_none();
-    let mut talk =
-        Talk { version: Version::Two, number: front.number(), name: Bytes::new(), known, over: false };
+    let mut talk = Talk {
+        version: Version::Two,
+        number: front.number(),
+        name: Bytes::new(),
+        known,
+        over: false,
+    };
     // When a command began to come that is not whole yet, and when replies last could not all be written.
     let (mut part_since, mut stuck_since): (Option<Instant>, Option<Instant>) = (None, None);
     loop {
@@ -155,14 +172,24 @@
             let _ = to.shutdown().await; // it may be gone already
             return;
         }
-        part_since = if reader.is_empty() { None } else { part_since.or(Some(Instant::now())) };
-        stuck_since = if out.is_empty() { None } else { stuck_since.or(Some(Instant::now())) };
+        part_since = if reader.is_empty() {
+            None
+        } else {
+            part_since.or(Some(Instant::now()))
+        };
+        stuck_since = if out.is_empty() {
+            None
+        } else {
+            stuck_since.or(Some(Instant::now()))
+        };
         let far = Instant::now() + Duration::from_secs(3600);
         let reading = !talk.over && owed.len() < IN_HAND && reader.waiting() <= 2 * COMMAND.message;
-        let patience = stuck_since.map_or(far, |s| s + UNREAD).min(match part_since {
-            Some(since) if reading => since + PIECES,
-            _ => far,
-        });
+        let patience = stuck_since
+            .map_or(far, |s| s + UNREAD)
+            .min(match part_since {
+                Some(since) if reading => since + PIECES,
+                _ => far,
+            });
         let mut piece = BytesMut::with_capacity(PIECE);
         tokio::select! {
             came = from.read_buf(&mut piece), if reading => match came {
@@ -215,7 +242,13 @@
 
 impl Talk {
     /// The reply to a command, now or later.
-    fn answer(&mut self, front: &Rc<Front>, visit: &Visit, gone: &Rc<Signal>, words: Vec<Bytes>) -> Owed {
+    fn answer(
+        &mut self,
+        front: &Rc<Front>,
+        visit: &Visit,
+        gone: &Rc<Signal>,
+        words: Vec<Bytes>,
+    ) -> Owed {
         let name = words[0].to_ascii_uppercase();
         let name = String::from_utf8_lossy(&name).into_owned();
         match (name.as_str(), words.len()) {
@@ -232,7 +265,9 @@
             return match row.remaining(&words) {
                 Err(Odd(why)) => error(format!("ERR {name}: {why}")),
                 Ok(remaining) => {
-                    let key = row.key(&words).map(|k| front.exchange.key(&String::from_utf8_lossy(k)));
+                    let key = row
+                        .key(&words)
+                        .map(|k| front.exchange.key(&String::from_utf8_lossy(k)));
                     let arrival = Arrival {
                         group: row.group,
                         key,
@@ -258,9 +293,9 @@
                 own(Value::Integer(front.table.len() as i64))
             }
             ("COMMAND", _) => own(Value::Array(Vec::new())),
-            (refused, _) if REFUSED.contains(&refused) => {
-                error(format!("ERR '{refused}' is not served here: a hit has no state of its connection"))
-            }
+            (refused, _) if REFUSED.contains(&refused) => error(format!(
+                "ERR '{refused}' is not served here: a hit has no state of its connection"
+            )),
             (other, _) => {
                 let shown: String = other.chars().filter(|c| !c.is_control()).take(64).collect();
                 error(format!("ERR unknown command '{shown}'"))
@@ -281,9 +316,14 @@
             return error("LOADING no node list yet, or stopping");
         }
         let mut body = BytesMut::new();
-        Value::Array(words.iter().cloned().map(Value::Bulk).collect()).write(Version::Two, &mut body);
+        Value::Array(words.iter().cloned().map(Value::Bulk).collect())
+            .write(Version::Two, &mut body);
         // No id comes with a command: each is a hit of its own.
-        let load = Load { id: front.exchange.unnamed(), head: Box::new(Command), body: body.freeze() };
+        let load = Load {
+            id: front.exchange.unnamed(),
+            head: Box::new(Command),
+            body: body.freeze(),
+        };
         let Some(mut ticket) = front.exchange.take(arrival, load) else {
             return error("ERR a hit in hand bears this id");
         };
@@ -311,17 +351,21 @@
                 reader.feed(&body);
                 match reader.value() {
                     Ok(Some(value)) => value,
-                    _ => {
-                        Value::Error(Bytes::from_static(b"FAILED no reply of this protocol; it may have run"))
-                    }
+                    _ => Value::Error(Bytes::from_static(
+                        b"FAILED no reply of this protocol; it may have run",
+                    )),
                 }
             }
             Reply::Node(Answer::Bounced { again_after }) if again_after > 0.0 => {
                 let ms = (again_after * 1e3).ceil();
                 Value::Error(format!("TRYAGAIN nothing ran; come back in {ms} ms").into())
             }
-            Reply::Node(Answer::Bounced { .. }) => Value::Error(Bytes::from_static(b"TRYAGAIN nothing ran")),
-            Reply::Node(Answer::Failed) => Value::Error(Bytes::from_static(b"FAILED it may have run")),
+            Reply::Node(Answer::Bounced { .. }) => {
+                Value::Error(Bytes::from_static(b"TRYAGAIN nothing ran"))
+            }
+            Reply::Node(Answer::Failed) => {
+                Value::Error(Bytes::from_static(b"FAILED it may have run"))
+            }
         };
         value.write(self.version, out);
     }
@@ -425,7 +469,10 @@
     #[test]
     fn replies_come_in_the_order_of_commands_whatever_nodes_do() {
         run(async {
-            let (slow, quick) = (echo(Duration::from_millis(40)).await, echo(Duration::ZERO).await);
+            let (slow, quick) = (
+                echo(Duration::from_millis(40)).await,
+                echo(Duration::ZERO).await,
+            );
             let (exchange, at) = front(&[slow.address, quick.address], None).await;
             let mut stream = client(at).await;
             let mut text = Vec::new();
@@ -457,26 +504,48 @@
                 ("CLIENT GETNAME", "$2\r\nme\r\n"),
                 ("COMMAND COUNT", ":4\r\n"),
                 ("COMMAND DOCS", "*0\r\n"),
-                ("AUTH x", "-ERR AUTH called without a password being set here\r\n"),
+                (
+                    "AUTH x",
+                    "-ERR AUTH called without a password being set here\r\n",
+                ),
                 ("HELLO 9", "-NOPROTO unsupported protocol version\r\n"),
-                ("MULTI", "-ERR 'MULTI' is not served here: a hit has no state of its connection\r\n"),
+                (
+                    "MULTI",
+                    "-ERR 'MULTI' is not served here: a hit has no state of its connection\r\n",
+                ),
                 (
                     "SUBSCRIBE c",
                     "-ERR 'SUBSCRIBE' is not served here: a hit has no state of its connection\r\n",
                 ),
                 ("FLUSHALL", "-ERR unknown command 'FLUSHALL'\r\n"),
-                ("BOOK k", "-ERR BOOK: argument 2: expected the mark that tells repeats\r\n"),
-                ("WAITS k soon", "-ERR WAITS: argument 2: expected whole milliseconds\r\n"),
+                (
+                    "BOOK k",
+                    "-ERR BOOK: argument 2: expected the mark that tells repeats\r\n",
+                ),
+                (
+                    "WAITS k soon",
+                    "-ERR WAITS: argument 2: expected whole milliseconds\r\n",
+                ),
                 ("WAITS k 900", "$1\r\nk\r\n"),
                 ("get k", "$1\r\nk\r\n"),
                 ("RESET", "+RESET\r\n"),
                 ("CLIENT GETNAME", "$-1\r\n"),
             ] {
-                assert_eq!(told(&mut stream, format!("{text}\r\n").as_bytes()).await, reply, "{text}");
+                assert_eq!(
+                    told(&mut stream, format!("{text}\r\n").as_bytes()).await,
+                    reply,
+                    "{text}"
+                );
             }
             let hello = told(&mut stream, b"HELLO 3 SETNAME you\r\n").await;
-            assert!(hello.starts_with("%7\r\n$6\r\nserver\r\n$10\r\nmagpieline\r\n"), "{hello}");
-            assert_eq!(told(&mut stream, b"PING\r\nQUIT\r\nPING\r\n").await, "+PONG\r\n+OK\r\n<end>");
+            assert!(
+                hello.starts_with("%7\r\n$6\r\nserver\r\n$10\r\nmagpieline\r\n"),
+                "{hello}"
+            );
+            assert_eq!(
+                told(&mut stream, b"PING\r\nQUIT\r\nPING\r\n").await,
+                "+PONG\r\n+OK\r\n<end>"
+            );
         });
     }
 
@@ -486,14 +555,22 @@
             let node = echo(Duration::ZERO).await;
             let (_, at) = front(&[node.address], Some("secret")).await;
             let mut stream = client(at).await;
-            assert_eq!(told(&mut stream, b"GET k\r\n").await, "-NOAUTH Authentication required.\r\n");
+            assert_eq!(
+                told(&mut stream, b"GET k\r\n").await,
+                "-NOAUTH Authentication required.\r\n"
+            );
             assert_eq!(
                 told(&mut stream, b"HELLO 3\r\n").await,
                 "-NOAUTH HELLO must be called with AUTH here\r\n"
             );
-            assert_eq!(told(&mut stream, b"AUTH wrong\r\n").await, "-WRONGPASS invalid name or password\r\n");
+            assert_eq!(
+                told(&mut stream, b"AUTH wrong\r\n").await,
+                "-WRONGPASS invalid name or password\r\n"
+            );
             assert!(node.seen.borrow().is_empty());
-            assert!(told(&mut stream, b"HELLO 3 AUTH default secret\r\n").await.starts_with("%7\r\n"));
+            assert!(told(&mut stream, b"HELLO 3 AUTH default secret\r\n")
+                .await
+                .starts_with("%7\r\n"));
             assert_eq!(told(&mut stream, b"GET k\r\n").await, "$1\r\nk\r\n");
         });
     }
@@ -505,9 +582,14 @@
             let bounced = told(&mut client(at).await, b"GET k\r\n").await;
             assert!(bounced.starts_with("-TRYAGAIN nothing ran"), "{bounced}");
             let (_, at) = front(&[scripted(vec![]).await], None).await;
-            assert_eq!(told(&mut client(at).await, b"SET k v\r\n").await, "-FAILED it may have run\r\n");
+            assert_eq!(
+                told(&mut client(at).await, b"SET k v\r\n").await,
+                "-FAILED it may have run\r\n"
+            );
             let (_, at) = front(&[], None).await;
-            assert!(told(&mut client(at).await, b"GET k\r\n").await.starts_with("-LOADING"));
+            assert!(told(&mut client(at).await, b"GET k\r\n")
+                .await
+                .starts_with("-LOADING"));
         });
     }
 
@@ -525,7 +607,10 @@
             ] {
                 let answer = told(&mut client(at).await, text).await;
                 let rest = answer.strip_prefix(before).expect(&answer);
-                assert!(rest.starts_with("-ERR Protocol error: ") && rest.ends_with("\r\n<end>"), "{answer}");
+                assert!(
+                    rest.starts_with("-ERR Protocol error: ") && rest.ends_with("\r\n<end>"),
+                    "{answer}"
+                );
                 assert_eq!(rest.matches("-ERR").count(), 1);
             }
         });
@@ -536,7 +621,9 @@
         run(async {
             let node = echo(Duration::ZERO).await;
             let (exchange, at) = front(&[node.address], None).await;
-            let text: Vec<u8> = (0..10_000).flat_map(|i| encoded(&format!("GET k{i}"))).collect();
+            let text: Vec<u8> = (0..10_000)
+                .flat_map(|i| encoded(&format!("GET k{i}")))
+                .collect();
             let stream = client(at).await;
             let (mut from, mut to) = stream.into_split();
             let sending = tokio::task::spawn_local(async move {
@@ -578,7 +665,8 @@
             let begun = Instant::now();
             let mut sent = 0;
             while let Ok(Ok(())) =
-                tokio::time::timeout(Duration::from_secs(3), stream.write_all(ping.as_bytes())).await
+                tokio::time::timeout(Duration::from_secs(3), stream.write_all(ping.as_bytes()))
+                    .await
             {
                 sent += ping.len();
                 assert!(begun.elapsed() < Duration::from_secs(10));
@@ -594,7 +682,10 @@
             let node = echo(Duration::from_millis(50)).await;
             let (exchange, at) = front(&[node.address], None).await;
             let mut stream = client(at).await;
-            stream.write_all(&[encoded("GET a"), encoded("GET b")].concat()).await.expect("sent");
+            stream
+                .write_all(&[encoded("GET a"), encoded("GET b")].concat())
+                .await
+                .expect("sent");
             tokio::time::sleep(Duration::from_millis(20)).await;
             stream.shutdown().await.expect("shut");
             let mut all = Vec::new();
@@ -632,7 +723,10 @@
     #[test]
     fn a_drain_in_the_middle_of_a_batch_takes_nothing_new_there() {
         run(async {
-            let (a, b) = (echo(Duration::from_millis(1)).await, echo(Duration::from_millis(1)).await);
+            let (a, b) = (
+                echo(Duration::from_millis(1)).await,
+                echo(Duration::from_millis(1)).await,
+            );
             let (exchange, at) = front(&[a.address, b.address], None).await;
             let over = Rc::new(Cell::new(false));
             let talk = |client_number: usize| {
@@ -642,13 +736,17 @@
                     let (mut reader, mut got, mut batch) = (Reader::new(Bounds::default()), 0, 0);
                     while !over.get() {
                         let keys = (0..40).map(|i| format!("k{client_number}-{batch}-{i}"));
-                        let text: Vec<u8> = keys.flat_map(|k| encoded(&format!("GET {k}"))).collect();
+                        let text: Vec<u8> =
+                            keys.flat_map(|k| encoded(&format!("GET {k}"))).collect();
                         stream.write_all(&text).await.expect("sent");
                         let owed = got + 40;
                         while got < owed {
                             match reader.value().expect("readable") {
                                 Some(Value::Bulk(word)) => {
-                                    assert_eq!(word, format!("k{client_number}-{batch}-{}", got % 40));
+                                    assert_eq!(
+                                        word,
+                                        format!("k{client_number}-{batch}-{}", got % 40)
+                                    );
                                     got += 1;
                                 }
                                 // The one node that is left may have no room for all.
@@ -670,7 +768,11 @@
                 while seen() < 20 {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
-                exchange.listed(true, true, vec![entry(a.address, false), entry(b.address, true)]);
+                exchange.listed(
+                    true,
+                    true,
+                    vec![entry(a.address, false), entry(b.address, true)],
+                );
                 // What it has on its connections by then, a millisecond each, however long the machine takes.
                 let mut before = 0;
                 while seen() != before {
@@ -684,7 +786,8 @@
                 assert_eq!(seen(), before, "something new came to it");
                 over.set(true);
             };
-            futures_util::future::join(futures_util::future::join_all((0..4).map(talk)), drains).await;
+            futures_util::future::join(futures_util::future::join_all((0..4).map(talk)), drains)
+                .await;
             assert!(exchange.idle());
         });
     }
@@ -726,13 +829,24 @@
                     }
                     let all: Vec<String> = pipe.query(&mut connection)?;
                     assert_eq!(all, (0..50).map(|i| format!("k{i}")).collect::<Vec<_>>());
-                    let refused: redis::RedisResult<String> = redis::cmd("FLUSHALL").query(&mut connection);
-                    assert!(refused.expect_err("refused").to_string().contains("unknown command"));
+                    let refused: redis::RedisResult<String> =
+                        redis::cmd("FLUSHALL").query(&mut connection);
+                    assert!(refused
+                        .expect_err("refused")
+                        .to_string()
+                        .contains("unknown command"));
                     Ok(())
                 };
-                let _ = done.send(talk("").and_then(|()| talk("?protocol=resp3")).map_err(|e| e.to_string()));
+                let _ = done.send(
+                    talk("")
+                        .and_then(|()| talk("?protocol=resp3"))
+                        .map_err(|e| e.to_string()),
+                );
             });
-            assert_eq!(answered.await.expect("the client's thread ends well"), Ok(()));
+            assert_eq!(
+                answered.await.expect("the client's thread ends well"),
+                Ok(())
+            );
         });
     }
 }
--- a/crates/resp-listener/src/table.rs
+++ b/crates/resp-listener/src/table.rs
@@ -34,12 +34,18 @@
         let mut rows = HashMap::new();
         for i in 0.. {
             let of = |what: &str| format!("resp.command.{i}.{what}");
-            let (text, number) =
-                (|what| text(values, &of(what)), |what| number(values, &of(what)).unwrap_or(0.0));
-            let (Some(name), Some(group)) = (text("name"), text("group")) else { break };
+            let (text, number) = (
+                |what| text(values, &of(what)),
+                |what| number(values, &of(what)).unwrap_or(0.0),
+            );
+            let (Some(name), Some(group)) = (text("name"), text("group")) else {
+                break;
+            };
             let wrong = |what: String| Err(format!("resp/command '{name}': {what}"));
             let Some(place) = exchange.group(group) else {
-                return wrong(format!("group: found '{group}', expected one of the platform's"));
+                return wrong(format!(
+                    "group: found '{group}', expected one of the platform's"
+                ));
             };
             let row = Row {
                 group: place,
@@ -57,7 +63,10 @@
                 };
                 return wrong(format!("mark: {expected}"));
             }
-            if rows.insert(name.to_ascii_uppercase().into_bytes(), row).is_some() {
+            if rows
+                .insert(name.to_ascii_uppercase().into_bytes(), row)
+                .is_some()
+            {
                 return wrong("found again, expected each once".into());
             }
         }
@@ -81,22 +90,34 @@
 impl Row {
     /// The key of a command, if it has one.
     pub fn key<'a>(&self, words: &'a [Bytes]) -> Option<&'a [u8]> {
-        words.get(self.key).filter(|k| self.key > 0 && !k.is_empty()).map(|k| &k[..])
+        words
+            .get(self.key)
+            .filter(|k| self.key > 0 && !k.is_empty())
+            .map(|k| &k[..])
     }
 
     /// How long its client waits, in seconds, if all that the row asks for is there.
     pub fn remaining(&self, words: &[Bytes]) -> Result<f64, Odd> {
         if self.mark > 0 && words.get(self.mark).is_none_or(|m| m.is_empty()) {
-            return Err(Odd(format!("argument {}: expected the mark that tells repeats", self.mark)));
+            return Err(Odd(format!(
+                "argument {}: expected the mark that tells repeats",
+                self.mark
+            )));
         }
         if self.timeout_at == 0 {
             return Ok(self.timeout);
         }
-        let digits = words.get(self.timeout_at).and_then(|w| std::str::from_utf8(w).ok());
+        let digits = words
+            .get(self.timeout_at)
+            .and_then(|w| std::str::from_utf8(w).ok());
         let digits = digits.filter(|d| !d.is_empty() && d.bytes().all(|b| b.is_ascii_digit()));
         let stated = digits.and_then(|d| d.parse::<u32>().ok());
-        let stated = stated
-            .ok_or_else(|| Odd(format!("argument {}: expected whole milliseconds", self.timeout_at)))?;
+        let stated = stated.ok_or_else(|| {
+            Odd(format!(
+                "argument {}: expected whole milliseconds",
+                self.timeout_at
+            ))
+        })?;
         Ok((f64::from(stated) / 1e3).min(self.timeout))
     }
 }
--- a/crates/resp-listener/src/testing.rs
+++ b/crates/resp-listener/src/testing.rs
@@ -23,22 +23,33 @@
 }
 
 pub fn run_within<F: Future>(seconds: u64, test: F) -> F::Output {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let timed = async {
-        tokio::time::timeout(Duration::from_secs(seconds), test).await.expect("a test ends in time")
+        tokio::time::timeout(Duration::from_secs(seconds), test)
+            .await
+            .expect("a test ends in time")
     };
     tokio::task::LocalSet::new().block_on(&runtime, timed)
 }
 
 pub fn encoded(command: &str) -> Bytes {
     let mut text = BytesMut::new();
-    let words = command.split(' ').map(|w| Value::Bulk(Bytes::copy_from_slice(w.as_bytes())));
+    let words = command
+        .split(' ')
+        .map(|w| Value::Bulk(Bytes::copy_from_slice(w.as_bytes())));
     Value::Array(words.collect()).write(Version::Two, &mut text);
     text.freeze()
 }
 
 pub fn load(command: &str) -> Rc<Load> {
-    Rc::new(Load { id: 1, head: Box::new(Command), body: encoded(command) })
+    Rc::new(Load {
+        id: 1,
+        head: Box::new(Command),
+        body: encoded(command),
+    })
 }
 
 pub async fn served<F: Future + 'static>(script: impl Fn(TcpStream) -> F + 'static) -> SocketAddr {
@@ -81,7 +92,10 @@
 }
 
 pub async fn echo(after: Duration) -> Echo {
-    let (connections, seen) = (Rc::new(Cell::new(0)), Rc::new(RefCell::new(BTreeMap::new())));
+    let (connections, seen) = (
+        Rc::new(Cell::new(0)),
+        Rc::new(RefCell::new(BTreeMap::new())),
+    );
     let (made, came) = (connections.clone(), seen.clone());
     let address = served(move |mut stream| {
         made.set(made.get() + 1);
@@ -90,11 +104,16 @@
             let mut reader = Reader::new(Bounds::default());
             greeted(&mut stream, &mut reader).await;
             while let Some(words) = next(&mut stream, &mut reader).await {
-                let text = words.iter().map(|w| String::from_utf8_lossy(w)).collect::<Vec<_>>().join(" ");
+                let text = words
+                    .iter()
+                    .map(|w| String::from_utf8_lossy(w))
+                    .collect::<Vec<_>>()
+                    .join(" ");
                 *came.borrow_mut().entry(text).or_default() += 1;
                 tokio::time::sleep(after).await;
                 let mut out = BytesMut::new();
-                Value::Bulk(words.get(1).cloned().unwrap_or_default()).write(Version::Three, &mut out);
+                Value::Bulk(words.get(1).cloned().unwrap_or_default())
+                    .write(Version::Three, &mut out);
                 if stream.write_all(&out).await.is_err() {
                     return;
                 }
@@ -102,7 +121,11 @@
         }
     })
     .await;
-    Echo { address, connections, seen }
+    Echo {
+        address,
+        connections,
+        seen,
+    }
 }
 
 /// A node whose connections, in turn, wait for what comes within a moment, write this, and end.
@@ -116,7 +139,9 @@
             greeted(&mut stream, &mut reader).await;
             next(&mut stream, &mut reader).await;
             tokio::time::sleep(Duration::from_millis(5)).await;
-            let _ = stream.read_buf(&mut BytesMut::with_capacity(64 << 10)).now_or_never();
+            let _ = stream
+                .read_buf(&mut BytesMut::with_capacity(64 << 10))
+                .now_or_never();
             let _ = stream.write_all(&text).await;
         }
     })
@@ -167,7 +192,10 @@
 
 /// An address at which nothing listens.
 pub async fn nobody() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").await.and_then(|l| l.local_addr()).expect("an address")
+    TcpListener::bind("127.0.0.1:0")
+        .await
+        .and_then(|l| l.local_addr())
+        .expect("an address")
 }
 
 /// GET is a read, SET a payment, BOOK a booking that the second argument marks, WAITS a read that says how long.
@@ -180,7 +208,8 @@
     ];
     let mut values = magpieline_operator_config::Values::new();
     for (i, (name, group, key, mark, at)) in rows.into_iter().enumerate() {
-        let mut put = |what: &str, setting| values.insert(format!("resp.command.{i}.{what}"), setting);
+        let mut put =
+            |what: &str, setting| values.insert(format!("resp.command.{i}.{what}"), setting);
         put("name", Setting::Text(name.into()));
         put("group", Setting::Text(group.into()));
         put("key", Setting::Number(f64::from(key)));
@@ -208,14 +237,33 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let (table, crowd) = (table(&exchange), Rc::new(Crowd::new(1000)));
-    let front = Front::new(exchange.clone(), crowd, 1.0, table, password.map(str::to_owned));
+    let front = Front::new(
+        exchange.clone(),
+        crowd,
+        1.0,
+        table,
+        password.map(str::to_owned),
+    );
     tokio::task::spawn_local(serve(Rc::new(front), listener));
     (exchange, address)
 }
 
 /// A line of the list.
 pub fn entry(address: SocketAddr, open: bool) -> Entry {
-    let listed =
-        Listed { node: 0, open, build: 1, zone: 0, cell: 0, rating: 1.0, up_since: 0.0, speaks: SPEAKS };
-    Entry { uid: address.to_string(), listed, address, gone: false }
+    let listed = Listed {
+        node: 0,
+        open,
+        build: 1,
+        zone: 0,
+        cell: 0,
+        rating: 1.0,
+        up_since: 0.0,
+        speaks: SPEAKS,
+    };
+    Entry {
+        uid: address.to_string(),
+        listed,
+        address,
+        gone: false,
+    }
 }
--- a/crates/resp-listener/src/way.rs
+++ b/crates/resp-listener/src/way.rs
@@ -37,8 +37,16 @@
 /// A part of a reply read at once.
 const PIECE: usize = 16 << 10;
 /// Error words by which a node says that it has not begun a command, by the published meaning of each.
-const UNSEEN: [&[u8]; 8] =
-    [b"TRYAGAIN", b"LOADING", b"BUSY", b"CLUSTERDOWN", b"MASTERDOWN", b"READONLY", b"OOM", b"NOAUTH"];
+const UNSEEN: [&[u8]; 8] = [
+    b"TRYAGAIN",
+    b"LOADING",
+    b"BUSY",
+    b"CLUSTERDOWN",
+    b"MASTERDOWN",
+    b"READONLY",
+    b"OOM",
+    b"NOAUTH",
+];
 
 /// How the decisions count this protocol; HTTP/1.1 is 0.
 pub const SPEAKS: u8 = 1;
@@ -98,7 +106,16 @@
     ) -> Pipes {
         let (lines, failures, again_at) = Default::default();
         let chance = ChaCha8Rng::seed_from_u64(seed).into();
-        Pipes(Rc::new(Node { address, connect, idle, login, lines, failures, again_at, chance }))
+        Pipes(Rc::new(Node {
+            address,
+            connect,
+            idle,
+            login,
+            lines,
+            failures,
+            again_at,
+            chance,
+        }))
     }
 }
 
@@ -129,7 +146,12 @@
         };
         let (begun, withdrawn) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
         let (reply, answer) = oneshot::channel();
-        let order = Order { bytes, begun: begun.clone(), withdrawn: withdrawn.clone(), reply };
+        let order = Order {
+            bytes,
+            begun: begun.clone(),
+            withdrawn: withdrawn.clone(),
+            reply,
+        };
         line.owed.set(line.owed.get() + 1);
         if line.orders.send(order).is_err() {
             return End::CutBefore; // it ended a moment ago
@@ -144,7 +166,8 @@
                 if !begun.get() {
                     return End::NeverUp;
                 }
-                line.given_up.set(line.given_up.get().or(Some(Instant::now())));
+                line.given_up
+                    .set(line.given_up.get().or(Some(Instant::now())));
                 End::Silent
             }
         }
@@ -154,7 +177,11 @@
     fn line(self: &Rc<Self>) -> Result<Rc<Line>, End> {
         let mut lines = self.lines.borrow_mut();
         lines.retain(|l| !l.orders.is_closed());
-        let least = lines.iter().filter(|l| l.given_up.get().is_none()).min_by_key(|l| l.owed.get()).cloned();
+        let least = lines
+            .iter()
+            .filter(|l| l.given_up.get().is_none())
+            .min_by_key(|l| l.owed.get())
+            .cloned();
         if let Some(line) = least.as_ref().filter(|l| l.owed.get() < CROWDED) {
             return Ok(line.clone());
         }
@@ -162,7 +189,11 @@
         if lines.len() < MOST && !paused {
             let (orders, taken) = mpsc::unbounded_channel();
             let (owed, given_up) = Default::default();
-            let line = Rc::new(Line { orders, owed, given_up });
+            let line = Rc::new(Line {
+                orders,
+                owed,
+                given_up,
+            });
             lines.push(line.clone());
             // The task holds the line weakly: it ends once nobody can order any more and nothing is owed.
             tokio::task::spawn_local(attend(self.clone(), Rc::downgrade(&line), taken));
@@ -184,7 +215,8 @@
         let doubled = 2f64.powi(self.failures.get().min(5) as i32);
         self.failures.set(self.failures.get().saturating_add(1));
         let spread = self.chance.borrow_mut().gen_range(0.5..1.5);
-        self.again_at.set(Some(Instant::now() + PAUSE.mul_f64(doubled * spread)));
+        self.again_at
+            .set(Some(Instant::now() + PAUSE.mul_f64(doubled * spread)));
     }
 }
 
@@ -215,7 +247,10 @@
     if ask(&mut stream, &mut reader, &hello).await?.is_error() {
         // An older one: it knows no greeting, and a password only.
         if let Some(Login { password, .. }) = &node.login {
-            if ask(&mut stream, &mut reader, &["AUTH", password]).await?.is_error() {
+            if ask(&mut stream, &mut reader, &["AUTH", password])
+                .await?
+                .is_error()
+            {
                 log::warn!("node {}: does not take this agent's password", node.address);
                 return Err(End::Refused);
             }
@@ -226,7 +261,9 @@
 
 async fn ask(stream: &mut TcpStream, reader: &mut Reader, words: &[&str]) -> Result<Value, End> {
     let mut text = BytesMut::new();
-    let words = words.iter().map(|w| Value::Bulk(Bytes::copy_from_slice(w.as_bytes())));
+    let words = words
+        .iter()
+        .map(|w| Value::Bulk(Bytes::copy_from_slice(w.as_bytes())));
     Value::Array(words.collect()).write(Version::Two, &mut text);
     stream.write_all(&text).await.map_err(|_| End::Refused)?;
     loop {
@@ -237,7 +274,12 @@
             Err(_) => return Err(End::Refused),
         }
         let mut piece = BytesMut::with_capacity(PIECE);
-        if stream.read_buf(&mut piece).await.map_err(|_| End::Refused)? == 0 {
+        if stream
+            .read_buf(&mut piece)
+            .await
+            .map_err(|_| End::Refused)?
+            == 0
+        {
             return Err(End::Refused);
         }
         reader.feed(&piece);
@@ -245,8 +287,14 @@
 }
 
 /// Serves one connection to its end.
-async fn attend(node: Rc<Node>, line: std::rc::Weak<Line>, mut orders: mpsc::UnboundedReceiver<Order>) {
-    let opened = tokio::time::timeout(node.connect, open(&node)).await.unwrap_or(Err(End::NeverUp));
+async fn attend(
+    node: Rc<Node>,
+    line: std::rc::Weak<Line>,
+    mut orders: mpsc::UnboundedReceiver<Order>,
+) {
+    let opened = tokio::time::timeout(node.connect, open(&node))
+        .await
+        .unwrap_or(Err(End::NeverUp));
     node.connected(opened.is_ok());
     let (stream, mut reader) = match opened {
         Ok(opened) => opened,
@@ -262,7 +310,9 @@
     let mut owed: VecDeque<Owed> = VecDeque::new();
     let (mut out, mut queued, mut written) = (BytesMut::new(), 0u64, 0u64);
     let count = |owed: &VecDeque<Owed>, orders: &mpsc::UnboundedReceiver<Order>| {
-        line.upgrade().iter().for_each(|l| l.owed.set(owed.len() + orders.len()));
+        line.upgrade()
+            .iter()
+            .for_each(|l| l.owed.set(owed.len() + orders.len()));
     };
     let (mut ordering, mut moved) = (true, Instant::now());
     let spoilt = loop {
@@ -322,12 +372,20 @@
     if let Some(Unreadable(why)) = &spoilt {
         log::debug!("forward: {}: {why}", node.address);
         if let Some(first) = owed.pop_front() {
-            let end = if first.whole_at > written { End::CutBefore } else { End::Unreadable };
+            let end = if first.whole_at > written {
+                End::CutBefore
+            } else {
+                End::Unreadable
+            };
             let _ = first.reply.send(end);
         }
     }
     for each in owed {
-        let end = if each.whole_at > written { End::CutBefore } else { End::CutAfter };
+        let end = if each.whole_at > written {
+            End::CutBefore
+        } else {
+            End::CutAfter
+        };
         let _ = each.reply.send(end);
     }
     while let Ok(order) = orders.try_recv() {
@@ -346,7 +404,9 @@
         if pushed {
             continue;
         }
-        let Some(first) = owed.pop_front() else { return Err(Unreadable("a reply that nobody is owed")) };
+        let Some(first) = owed.pop_front() else {
+            return Err(Unreadable("a reply that nobody is owed"));
+        };
         many += 1;
         let _ = first.reply.send(end(value)); // given up meanwhile, perhaps
     }
@@ -367,7 +427,10 @@
         None => {
             let mut body = BytesMut::new();
             value.write(Version::Three, &mut body);
-            End::Answered { kind: None, body: body.freeze() }
+            End::Answered {
+                kind: None,
+                body: body.freeze(),
+            }
         }
     }
 }
@@ -432,7 +495,13 @@
     #[test]
     fn errors_mean_what_their_words_say() {
         run(async {
-            let words = ["-TRYAGAIN", "-LOADING now", "-ERR no", "!5\r\nOOM a", "|1\r\n+a\r\n:1\r\n-ERR"];
+            let words = [
+                "-TRYAGAIN",
+                "-LOADING now",
+                "-ERR no",
+                "!5\r\nOOM a",
+                "|1\r\n+a\r\n:1\r\n-ERR",
+            ];
             let text: String = words.iter().map(|w| format!("{w}\r\n")).collect();
             let way = pipes(scripted(vec![text.into_bytes()]).await);
             let ends = all(&way, &["A 1", "A 2", "A 3", "A 4", "A 5"][..1], LIMIT).await;
@@ -444,7 +513,17 @@
             let ends: Vec<String> = std::iter::from_fn(|| reader.value().expect("readable"))
                 .map(|v| super::tests::text(&end(v)))
                 .collect();
-            assert_eq!(ends, ["TurnedAway", "TurnedAway", "Failed", "TurnedAway", "Failed", ":1\r\n"]);
+            assert_eq!(
+                ends,
+                [
+                    "TurnedAway",
+                    "TurnedAway",
+                    "Failed",
+                    "TurnedAway",
+                    "Failed",
+                    ":1\r\n"
+                ]
+            );
         });
     }
 
@@ -460,7 +539,10 @@
                 let ends = all(&way, &["GET k0", "GET k1", "GET k2"], 4 * LIMIT).await;
                 for (i, end) in ends.iter().enumerate() {
                     if cut >= whole_at[i] {
-                        assert!(text(end).ends_with(&format!("$2\r\nk{i}\r\n")), "{cut}: {end:?}");
+                        assert!(
+                            text(end).ends_with(&format!("$2\r\nk{i}\r\n")),
+                            "{cut}: {end:?}"
+                        );
                     } else {
                         assert!(matches!(end, End::CutAfter), "{cut}: {end:?}");
                     }
@@ -490,8 +572,15 @@
             let long = format!("SET k {}", "v".repeat(32 << 20));
             let begun = Instant::now();
             let ends = all(&way, &["GET a", &long, "GET b"], Duration::from_secs(10)).await;
-            assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
-            assert!(matches!(ends[..], [End::CutAfter, End::CutBefore, End::CutBefore]), "{ends:?}");
+            assert!(
+                begun.elapsed() < Duration::from_secs(6),
+                "{:?}",
+                begun.elapsed()
+            );
+            assert!(
+                matches!(ends[..], [End::CutAfter, End::CutBefore, End::CutBefore]),
+                "{ends:?}"
+            );
         });
     }
 
@@ -506,13 +595,19 @@
             // One too few, and one that never ends: silence.
             let way = pipes(held(b":1\r\n".to_vec()).await);
             let ends = all(&way, &["A", "B"], LIMIT).await;
-            assert_eq!((text(&ends[0]), text(&ends[1])), (":1\r\n".into(), "Silent".into()));
+            assert_eq!(
+                (text(&ends[0]), text(&ends[1])),
+                (":1\r\n".into(), "Silent".into())
+            );
             let way = pipes(held(b"*?\r\n:1\r\n:1\r\n".to_vec()).await);
             assert_eq!(text(&all(&way, &["A"], LIMIT).await[0]), "Silent");
             // No reply at all by the protocol: it may have run, and so may what was behind it.
             let way = pipes(held(b"HTTP/1.1 400 Bad Request\r\n".to_vec()).await);
             let ends = all(&way, &["A", "B"], LIMIT).await;
-            assert_eq!((text(&ends[0]), text(&ends[1])), ("Unreadable".into(), "CutAfter".into()));
+            assert_eq!(
+                (text(&ends[0]), text(&ends[1])),
+                ("Unreadable".into(), "CutAfter".into())
+            );
         });
     }
 
@@ -522,9 +617,15 @@
         run(async {
             let node = echo(Duration::from_millis(300)).await;
             let way = pipes(node.address);
-            assert_eq!(text(&all(&way, &["GET a"], Duration::from_millis(150)).await[0]), "Silent");
+            assert_eq!(
+                text(&all(&way, &["GET a"], Duration::from_millis(150)).await[0]),
+                "Silent"
+            );
             let ends = all(&way, &["GET b", "GET c"], 5 * LIMIT).await;
-            assert_eq!((text(&ends[0]), text(&ends[1])), ("$1\r\nb\r\n".into(), "$1\r\nc\r\n".into()));
+            assert_eq!(
+                (text(&ends[0]), text(&ends[1])),
+                ("$1\r\nb\r\n".into(), "$1\r\nc\r\n".into())
+            );
         });
     }
 
@@ -554,9 +655,15 @@
     fn a_way_sends_nothing_of_another_front() {
         run(async {
             let node = echo(Duration::ZERO).await;
-            let other =
-                Rc::new(Load { id: 1, head: Box::new(()), body: Bytes::from_static(b"*1\r\n$1\r\nA\r\n") });
-            assert!(matches!(pipes(node.address).forward(other, LIMIT).await, End::Nowhere));
+            let other = Rc::new(Load {
+                id: 1,
+                head: Box::new(()),
+                body: Bytes::from_static(b"*1\r\n$1\r\nA\r\n"),
+            });
+            assert!(matches!(
+                pipes(node.address).forward(other, LIMIT).await,
+                End::Nowhere
+            ));
             assert_eq!(node.connections.get(), 0);
         });
     }
--- a/crates/resp/src/reader.rs
+++ b/crates/resp/src/reader.rs
@@ -23,7 +23,13 @@
 impl Default for Bounds {
     /// A message of 1 MiB at most; a command has a few values a few levels deep, an answer some thousands.
     fn default() -> Bounds {
-        Bounds { depth: 32, values: 1 << 16, string: 1 << 20, line: 1 << 12, message: 1 << 20 }
+        Bounds {
+            depth: 32,
+            values: 1 << 16,
+            string: 1 << 20,
+            line: 1 << 12,
+            message: 1 << 20,
+        }
     }
 }
 
@@ -84,7 +90,18 @@
 impl Reader {
     pub fn new(bounds: Bounds) -> Reader {
         let (bytes, open, text, attributes, pushed) = Default::default();
-        Reader { bounds, bytes, open, text, values: 0, taken: 0, attributes, looked: 0, pushed, failed: None }
+        Reader {
+            bounds,
+            bytes,
+            open,
+            text,
+            values: 0,
+            taken: 0,
+            attributes,
+            looked: 0,
+            pushed,
+            failed: None,
+        }
     }
 
     /// Takes bytes in, to be read by the next calls.
@@ -94,7 +111,10 @@
 
     /// Whether nothing of a message has come.
     pub fn is_empty(&self) -> bool {
-        self.bytes.is_empty() && self.open.is_empty() && self.text.is_none() && self.attributes.is_empty()
+        self.bytes.is_empty()
+            && self.open.is_empty()
+            && self.text.is_none()
+            && self.attributes.is_empty()
     }
 
     /// Bytes that wait to be read.
@@ -169,7 +189,9 @@
                     None => return Ok(None),
                 },
                 None => {
-                    let Some(line) = self.line(self.bounds.line)? else { return Ok(None) };
+                    let Some(line) = self.line(self.bounds.line)? else {
+                        return Ok(None);
+                    };
                     match self.begin(&line)? {
                         Some(value) => value,
                         None => continue,
@@ -234,13 +256,15 @@
         Ok(Some(match mark {
             b'+' => Value::Simple(plain(text())?),
             b'-' => Value::Error(plain(text())?),
-            b':' => {
-                Value::Integer(line::integer(rest).ok_or(Unreadable("an integer: expected one of 64 bits"))?)
-            }
+            b':' => Value::Integer(
+                line::integer(rest).ok_or(Unreadable("an integer: expected one of 64 bits"))?,
+            ),
             b'_' if rest.is_empty() => Value::Null,
             b'#' if rest == b"t" => Value::Boolean(true),
             b'#' if rest == b"f" => Value::Boolean(false),
-            b',' => Value::Double(line::double(rest).ok_or(Unreadable("a double: expected a number"))?),
+            b',' => {
+                Value::Double(line::double(rest).ok_or(Unreadable("a double: expected a number"))?)
+            }
             b'(' if line::big(rest) => Value::Big(text()),
             b'$' | b'!' | b'=' => match count()? {
                 Count::Known(length) => {
@@ -279,12 +303,28 @@
                     return Err(Unreadable("an aggregate: too deep"));
                 }
                 // What is announced is not believed: room grows as values come.
-                self.open.push(Open { kind, left, items: Vec::new(), attributes: Vec::new() });
-                return if left == Some(0) { self.ended() } else { Ok(None) };
+                self.open.push(Open {
+                    kind,
+                    left,
+                    items: Vec::new(),
+                    attributes: Vec::new(),
+                });
+                return if left == Some(0) {
+                    self.ended()
+                } else {
+                    Ok(None)
+                };
             }
             b'.' if rest.is_empty() => {
-                let streamed = self.open.last().is_some_and(|o| o.left.is_none() && o.attributes.is_empty());
-                return if streamed { self.ended() } else { Err(Unreadable("an end mark: nothing to end")) };
+                let streamed = self
+                    .open
+                    .last()
+                    .is_some_and(|o| o.left.is_none() && o.attributes.is_empty());
+                return if streamed {
+                    self.ended()
+                } else {
+                    Err(Unreadable("an end mark: nothing to end"))
+                };
             }
             _ => return Err(Unreadable("a line: expected a mark")),
         }))
@@ -301,7 +341,9 @@
                 Ok(Some(match mark {
                     b'!' => Value::BulkError(bytes),
                     b'=' => match bytes[..].split_at_checked(4) {
-                        Some(([a, b, c, b':'], _)) => Value::Verbatim([*a, *b, *c], bytes.slice(4..)),
+                        Some(([a, b, c, b':'], _)) => {
+                            Value::Verbatim([*a, *b, *c], bytes.slice(4..))
+                        }
                         _ => return Err(Unreadable("a verbatim string: expected its kind")),
                     },
                     _ => Value::Bulk(bytes),
@@ -328,7 +370,9 @@
     /// Goes on with a streamed string, chunk by chunk.
     fn streamed(&mut self) -> Result<Option<Value>, Unreadable> {
         loop {
-            let Some(Text::Streamed(mut so_far)) = self.text.take() else { return Ok(None) };
+            let Some(Text::Streamed(mut so_far)) = self.text.take() else {
+                return Ok(None);
+            };
             let Some(line) = self.line(self.bounds.line)? else {
                 self.text = Some(Text::Streamed(so_far));
                 return Ok(None);
@@ -362,7 +406,11 @@
         if self.bytes.len() < length + 2 {
             // What is wrong already need not be waited for.
             let odd = self.bytes.get(length).is_some_and(|b| *b != b'\r');
-            return if odd { Err(Unreadable("a string: expected its end")) } else { Ok(None) };
+            return if odd {
+                Err(Unreadable("a string: expected its end"))
+            } else {
+                Ok(None)
+            };
         }
         if &self.bytes[length..length + 2] != b"\r\n" {
             return Err(Unreadable("a string: expected its end"));
@@ -381,7 +429,9 @@
 
     /// The innermost aggregate has all its values.
     fn ended(&mut self) -> Result<Option<Value>, Unreadable> {
-        let Some(Open { kind, items, .. }) = self.open.pop() else { return Ok(None) };
+        let Some(Open { kind, items, .. }) = self.open.pop() else {
+            return Ok(None);
+        };
         let paired = |items: Vec<Value>| {
             let mut items = items.into_iter();
             let mut pairs = Vec::with_capacity(items.len() / 2);
@@ -394,10 +444,15 @@
             Kind::Array => Value::Array(items),
             Kind::Set => Value::Set(items),
             Kind::Push => Value::Push(items),
-            Kind::Map if items.len() % 2 != 0 => return Err(Unreadable("a map: a key without a value")),
+            Kind::Map if items.len() % 2 != 0 => {
+                return Err(Unreadable("a map: a key without a value"))
+            }
             Kind::Map => Value::Map(paired(items)),
             Kind::Attributes => {
-                let held = self.open.last_mut().map_or(&mut self.attributes, |o| &mut o.attributes);
+                let held = self
+                    .open
+                    .last_mut()
+                    .map_or(&mut self.attributes, |o| &mut o.attributes);
                 if !held.is_empty() {
                     return Err(Unreadable("attributes: expected a value after them"));
                 }
@@ -415,11 +470,16 @@
                 return Err(Unreadable("a message: too many values"));
             }
             let pushed = matches!(value, Value::Push(_));
-            let held = self.open.last_mut().map_or(&mut self.attributes, |o| &mut o.attributes);
+            let held = self
+                .open
+                .last_mut()
+                .map_or(&mut self.attributes, |o| &mut o.attributes);
             if !held.is_empty() {
                 value = Value::With(std::mem::take(held), Box::new(value));
             }
-            let Some(around) = self.open.last_mut() else { return Ok(Some(value)) };
+            let Some(around) = self.open.last_mut() else {
+                return Ok(Some(value));
+            };
             if pushed {
                 self.pushed.push_back(value);
                 return Ok(None);
@@ -452,7 +512,9 @@
 
 /// The words of a command on a line of its own.
 fn inline(line: &Bytes) -> Vec<Bytes> {
-    let words = line.split(|b| *b == b' ' || *b == b'\t').filter(|w| !w.is_empty());
+    let words = line
+        .split(|b| *b == b' ' || *b == b'\t')
+        .filter(|w| !w.is_empty());
     words.map(|w| line.slice_ref(w)).collect()
 }
 
@@ -482,20 +544,38 @@
             (whole(b"$-1\r\n"), whole(b"*-1\r\n"), whole(b"_\r\n")),
             (Value::Null, Value::Null, Value::Null)
         );
-        assert_eq!((whole(b"#t\r\n"), whole(b"#f\r\n")), (Value::Boolean(true), Value::Boolean(false)));
+        assert_eq!(
+            (whole(b"#t\r\n"), whole(b"#f\r\n")),
+            (Value::Boolean(true), Value::Boolean(false))
+        );
         assert_eq!(whole(b",1.5\r\n"), Value::Double(1.5));
-        assert_eq!(whole(b"(-99999999999999999999\r\n"), Value::Big("-99999999999999999999".into()));
+        assert_eq!(
+            whole(b"(-99999999999999999999\r\n"),
+            Value::Big("-99999999999999999999".into())
+        );
         assert_eq!(whole(b"!5\r\nSYN a\r\n"), Value::BulkError("SYN a".into()));
-        assert_eq!(whole(b"=8\r\nmkd:# hi\r\n"), Value::Verbatim(*b"mkd", "# hi".into()));
+        assert_eq!(
+            whole(b"=8\r\nmkd:# hi\r\n"),
+            Value::Verbatim(*b"mkd", "# hi".into())
+        );
         assert_eq!(whole(b"~1\r\n:1\r\n"), Value::Set(vec![Value::Integer(1)]));
         assert_eq!(
             whole(b"%1\r\n+a\r\n*0\r\n"),
             Value::Map(vec![(Value::Simple("a".into()), Value::Array(vec![]))])
         );
-        assert_eq!(whole(b">1\r\n+a\r\n"), Value::Push(vec![Value::Simple("a".into())]));
-        let with = Value::With(vec![(Value::Integer(1), Value::Integer(2))], Box::new(Value::Boolean(true)));
+        assert_eq!(
+            whole(b">1\r\n+a\r\n"),
+            Value::Push(vec![Value::Simple("a".into())])
+        );
+        let with = Value::With(
+            vec![(Value::Integer(1), Value::Integer(2))],
+            Box::new(Value::Boolean(true)),
+        );
         assert_eq!(whole(b"|1\r\n:1\r\n:2\r\n#t\r\n"), with);
-        assert_eq!(whole(b"*1\r\n|1\r\n:1\r\n:2\r\n#t\r\n"), Value::Array(vec![with]));
+        assert_eq!(
+            whole(b"*1\r\n|1\r\n:1\r\n:2\r\n#t\r\n"),
+            Value::Array(vec![with])
+        );
     }
 
     #[test]
@@ -508,9 +588,13 @@
     /// What is pushed is never taken for a part of what it came into.
     #[test]
     fn a_push_within_a_value_comes_by_itself_and_shifts_nothing() {
-        let parts: [&[u8]; 6] = [b"*?\r\n", b":1\r\n", b"%1\r\n", b":2\r\n", b":3\r\n", b".\r\n"];
-        let expected =
-            Value::Array(vec![Value::Integer(1), Value::Map(vec![(Value::Integer(2), Value::Integer(3))])]);
+        let parts: [&[u8]; 6] = [
+            b"*?\r\n", b":1\r\n", b"%1\r\n", b":2\r\n", b":3\r\n", b".\r\n",
+        ];
+        let expected = Value::Array(vec![
+            Value::Integer(1),
+            Value::Map(vec![(Value::Integer(2), Value::Integer(3))]),
+        ]);
         for at in 0..=parts.len() {
             let mut reader = Reader::new(Bounds::default());
             let mut got = Vec::new();
@@ -526,8 +610,15 @@
             while let Some(value) = reader.value().expect("readable") {
                 got.push(value);
             }
-            let push = Value::Push(vec![Value::Simple("a".into()), Value::Array(vec![Value::Integer(9)])]);
-            let order = if at == parts.len() { [expected.clone(), push] } else { [push, expected.clone()] };
+            let push = Value::Push(vec![
+                Value::Simple("a".into()),
+                Value::Array(vec![Value::Integer(9)]),
+            ]);
+            let order = if at == parts.len() {
+                [expected.clone(), push]
+            } else {
+                [push, expected.clone()]
+            };
             assert_eq!(got, order, "{at}");
             assert!(reader.is_empty());
         }
@@ -535,16 +626,34 @@
 
     #[test]
     fn what_is_beyond_its_bounds_is_unreadable_and_stays_so() {
-        let bounds = Bounds { depth: 4, values: 8, string: 10, line: 16, message: 100 };
+        let bounds = Bounds {
+            depth: 4,
+            values: 8,
+            string: 10,
+            line: 16,
+            message: 100,
+        };
         for (text, why) in [
             (b"$11\r\n".to_vec(), "a string: too long"),
             (b"$9999999999\r\n".to_vec(), "a string: too long"),
             (b"*9\r\n".to_vec(), "an aggregate: too many values"),
             (b"*1\r\n".repeat(5), "an aggregate: too deep"),
-            ([&b"*?\r\n"[..], &b":1\r\n".repeat(9)].concat(), "a message: too many values"),
-            (b"+".iter().chain([b'a'; 40].iter()).copied().collect(), "a line: too long"),
-            ([&b"$?\r\n"[..], &b";4\r\naaaa\r\n".repeat(3)].concat(), "a string: too long"),
-            ([&b"*8\r\n"[..], &b"+aaaaaaaaaaaaaa\r\n".repeat(7)].concat(), "a message: too long"),
+            (
+                [&b"*?\r\n"[..], &b":1\r\n".repeat(9)].concat(),
+                "a message: too many values",
+            ),
+            (
+                b"+".iter().chain([b'a'; 40].iter()).copied().collect(),
+                "a line: too long",
+            ),
+            (
+                [&b"$?\r\n"[..], &b";4\r\naaaa\r\n".repeat(3)].concat(),
+                "a string: too long",
+            ),
+            (
+                [&b"*8\r\n"[..], &b"+aaaaaaaaaaaaaa\r\n".repeat(7)].concat(),
+                "a message: too long",
+            ),
         ] {
             let mut reader = Reader::new(bounds);
             reader.feed(&text);
@@ -591,15 +700,26 @@
     #[test]
     fn commands_are_strings_in_an_array_or_words_on_a_line() {
         let mut reader = Reader::new(Bounds::default());
-        reader.feed(b"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n*0\r\n\r\n  PING  a\r\n*-1\r\n*1\r\n$4\r\nQUIT\r\nINFO");
-        let words = |all: &[&'static str]| Ok(Some(all.iter().map(|w| Bytes::from(*w)).collect::<Vec<_>>()));
+        reader.feed(
+            b"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n*0\r\n\r\n  PING  a\r\n*-1\r\n*1\r\n$4\r\nQUIT\r\nINFO",
+        );
+        let words = |all: &[&'static str]| {
+            Ok(Some(
+                all.iter().map(|w| Bytes::from(*w)).collect::<Vec<_>>(),
+            ))
+        };
         assert_eq!(reader.command(), words(&["GET", "k"]));
         assert_eq!(reader.command(), words(&["PING", "a"]));
         assert_eq!(reader.command(), words(&["QUIT"]));
         assert_eq!(reader.command(), Ok(None));
         reader.feed(b"\r\n");
         assert_eq!(reader.command(), words(&["INFO"]));
-        for odd in [&b"*1\r\n:1\r\n"[..], b"*1\r\n$-1\r\n", b"*1\r\n*0\r\n", b"a\n"] {
+        for odd in [
+            &b"*1\r\n:1\r\n"[..],
+            b"*1\r\n$-1\r\n",
+            b"*1\r\n*0\r\n",
+            b"a\n",
+        ] {
             let mut reader = Reader::new(Bounds::default());
             reader.feed(odd);
             assert!(reader.command().is_err(), "{odd:?}");
--- a/crates/resp/src/value.rs
+++ b/crates/resp/src/value.rs
@@ -113,7 +113,8 @@
 /// A line; a CR or LF within it, which would end it, becomes a space.
 fn line(mark: u8, text: &[u8], out: &mut BytesMut) {
     out.put_u8(mark);
-    text.iter().for_each(|b| out.put_u8(if matches!(b, b'\r' | b'\n') { b' ' } else { *b }));
+    text.iter()
+        .for_each(|b| out.put_u8(if matches!(b, b'\r' | b'\n') { b' ' } else { *b }));
     out.put_slice(b"\r\n");
 }
 
--- a/crates/resp/tests/properties.rs
+++ b/crates/resp/tests/properties.rs
@@ -11,7 +11,8 @@
 }
 
 fn bytes() -> impl Strategy<Value = Bytes> {
-    prop_oneof![4 => vec(any::<u8>(), 0..40), 1 => vec(any::<u8>(), 1000..1100)].prop_map(Bytes::from)
+    prop_oneof![4 => vec(any::<u8>(), 0..40), 1 => vec(any::<u8>(), 1000..1100)]
+        .prop_map(Bytes::from)
 }
 
 fn leaf() -> impl Strategy<Value = Value> {
@@ -22,7 +23,9 @@
         bytes().prop_map(Value::Bulk),
         Just(Value::Null),
         any::<bool>().prop_map(Value::Boolean),
-        any::<f64>().prop_filter("one that equals itself", |n| !n.is_nan()).prop_map(Value::Double),
+        any::<f64>()
+            .prop_filter("one that equals itself", |n| !n.is_nan())
+            .prop_map(Value::Double),
         "-?[0-9]{1,40}".prop_map(|d| Value::Big(d.into())),
         bytes().prop_map(Value::BulkError),
         ("[a-z]{3}", bytes()).prop_map(|(k, t)| {
@@ -43,7 +46,8 @@
             vec(inner.clone(), 0..5).prop_map(Value::Array),
             vec(inner.clone(), 0..5).prop_map(Value::Set),
             vec((inner.clone(), inner.clone()), 0..4).prop_map(Value::Map),
-            (vec((inner.clone(), inner), 1..3), plain).prop_map(|(a, v)| Value::With(a, Box::new(v))),
+            (vec((inner.clone(), inner), 1..3), plain)
+                .prop_map(|(a, v)| Value::With(a, Box::new(v))),
         ]
     })
 }
@@ -71,7 +75,10 @@
 
 /// How many of each: 400, or more by hand, as in `MAGPIELINE_CASES=1000000 cargo test --release -p magpieline-resp`.
 fn cases() -> u32 {
-    std::env::var("MAGPIELINE_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(400)
+    std::env::var("MAGPIELINE_CASES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(400)
 }
 
 proptest! {
@@ -125,7 +132,9 @@
 fn size(v: &Value) -> usize {
     let pairs = |p: &[(Value, Value)]| p.iter().map(|(k, v)| size(k) + size(v)).sum::<usize>();
     1 + match v {
-        Value::Array(items) | Value::Set(items) | Value::Push(items) => items.iter().map(size).sum(),
+        Value::Array(items) | Value::Set(items) | Value::Push(items) => {
+            items.iter().map(size).sum()
+        }
         Value::Map(p) => pairs(p),
         Value::With(p, v) => pairs(p) + size(v),
         _ => 0,
@@ -133,7 +142,13 @@
 }
 
 fn hold(pieces: &[Vec<u8>]) {
-    let bounds = Bounds { depth: 5, values: 50, string: 100, line: 80, message: 400 };
+    let bounds = Bounds {
+        depth: 5,
+        values: 50,
+        string: 100,
+        line: 80,
+        message: 400,
+    };
     let mut reader = Reader::new(bounds);
     for piece in pieces {
         reader.feed(piece);
--- a/crates/rollout/src/analysis.rs
+++ b/crates/rollout/src/analysis.rs
@@ -143,23 +143,30 @@
 
     /// The strongest evidence against the trial build; [`ENOUGH`] convinces.
     pub fn against(&self) -> f64 {
-        self.known().fold(0.0, |most: f64, s| most.max(s.failed).max(s.late))
+        self.known()
+            .fold(0.0, |most: f64, s| most.max(s.failed).max(s.late))
     }
 
     fn known(&self) -> impl Iterator<Item = &Scores> {
-        self.scores.iter().filter(|(route, s)| s.known || route.is_none()).map(|(_, s)| s)
+        self.scores
+            .iter()
+            .filter(|(route, s)| s.known || route.is_none())
+            .map(|(_, s)| s)
     }
 
     /// What speaks against it without condemning it; above [`DOUBT`] it is not moved to.
     pub fn doubt(&self) -> f64 {
-        self.known().fold(self.against(), |most, s| most.max(LITTLE_COUNTS * s.little))
+        self.known()
+            .fold(self.against(), |most, s| most.max(LITTLE_COUNTS * s.little))
     }
 
     /// What it rests on, in a line.
     pub fn account(&self, pooled: &Pooled) -> String {
         let mut sums = [Totals::default(); 2];
         for arms in pooled.routes.values() {
-            sums.iter_mut().zip(arms).for_each(|(sum, arm)| sum.add(arm));
+            sums.iter_mut()
+                .zip(arms)
+                .for_each(|(sum, arm)| sum.add(arm));
         }
         let [e, t] = sums;
         format!(
@@ -176,7 +183,11 @@
         for arms in pooled.routes.values() {
             all.iter_mut().zip(arms).for_each(|(sum, arm)| sum.add(arm));
         }
-        let with_all = pooled.routes.iter().map(|(route, arms)| (Some(*route), arms)).chain([(None, &all)]);
+        let with_all = pooled
+            .routes
+            .iter()
+            .map(|(route, arms)| (Some(*route), arms))
+            .chain([(None, &all)]);
         for (place, (route, arms)) in with_all.enumerate() {
             let old = self.weighed.insert(route, *arms).unwrap_or_default();
             let new = [0, 1].map(|i| arms[i].since(&old[i]));
@@ -192,19 +203,43 @@
             let lating = usual(late(e), e.pulls, late(every), every.pulls).max(USUAL_LATE);
             let scores = self.scores.entry(route).or_default();
             scores.known = arms[TRIAL].outcomes >= LEAST_OF_ROUTE;
-            let (bad, passed) =
-                (f64::from(trial.bad), f64::from(trial.outcomes - trial.bad.min(trial.outcomes)));
+            let (bad, passed) = (
+                f64::from(trial.bad),
+                f64::from(trial.outcomes - trial.bad.min(trial.outcomes)),
+            );
             let (plain, little) = (failing.max(USUAL_LEAST), failing.max(LITTLE_USUAL));
-            Evidence::lean(&mut scores.failed, bad, passed, plain, (plain + WORSE).min(0.95));
-            Evidence::lean(&mut scores.little, bad, passed, little, (little + LITTLE_WORSE).min(0.95));
+            Evidence::lean(
+                &mut scores.failed,
+                bad,
+                passed,
+                plain,
+                (plain + WORSE).min(0.95),
+            );
+            Evidence::lean(
+                &mut scores.little,
+                bad,
+                passed,
+                little,
+                (little + LITTLE_WORSE).min(0.95),
+            );
             let (slow, in_time) = (f64::from(late(trial)), f64::from(trial.in_time));
-            Evidence::lean(&mut scores.late, slow, in_time, lating, (lating + WORSE).min(0.95));
+            Evidence::lean(
+                &mut scores.late,
+                slow,
+                in_time,
+                lating,
+                (lating + WORSE).min(0.95),
+            );
             if route.is_none() {
                 continue; // the duel knows routes
             }
             for (arm, totals) in new.iter().enumerate() {
                 for i in 0..totals.pulls {
-                    self.duel.add(arm, place.min(ROUTES - 1), f64::from(u8::from(i < totals.in_time)));
+                    self.duel.add(
+                        arm,
+                        place.min(ROUTES - 1),
+                        f64::from(u8::from(i < totals.in_time)),
+                    );
                 }
                 (0..totals.outcomes).for_each(|_| self.duel.outcome(arm));
             }
@@ -215,10 +250,18 @@
     /// Whether what is bad comes from many of the trial build's appliances: with the worst eighth of them left out
     /// there is still some, and a quarter of all.
     fn widespread(&self, pooled: &Pooled) -> bool {
-        let mut ills: Vec<u32> =
-            pooled.spots.values().filter(|s| s.outcomes > 0).map(|s| s.bad + s.late).collect();
+        let mut ills: Vec<u32> = pooled
+            .spots
+            .values()
+            .filter(|s| s.outcomes > 0)
+            .map(|s| s.bad + s.late)
+            .collect();
         ills.sort_unstable_by(|a, b| b.cmp(a));
-        let left_out = if ills.len() > 1 { ills.len().div_ceil(8) } else { 0 };
+        let left_out = if ills.len() > 1 {
+            ills.len().div_ceil(8)
+        } else {
+            0
+        };
         let (all, rest): (u32, u32) = (ills.iter().sum(), ills[left_out..].iter().sum());
         rest >= WIDESPREAD && 4 * rest >= all
     }
@@ -227,7 +270,12 @@
     pub fn look(&mut self, look: Look) -> Step {
         self.weigh(look.pooled);
         let now = look.now;
-        let outcomes: u32 = look.pooled.routes.values().map(|arms| arms[TRIAL].outcomes).sum();
+        let outcomes: u32 = look
+            .pooled
+            .routes
+            .values()
+            .map(|arms| arms[TRIAL].outcomes)
+            .sum();
         if outcomes > 0 && self.first_outcome.is_none() {
             self.first_outcome = Some(now);
         }
@@ -259,15 +307,26 @@
             }
         };
         self.open = !guarded;
-        let stage = Stage { share: OF_SHARE * self.share, guarded, focus: 0 };
+        let stage = Stage {
+            share: OF_SHARE * self.share,
+            guarded,
+            focus: 0,
+        };
         if stage != self.stage {
             self.stage = stage;
             return Step::Stage(stage);
         }
         let reserve = RESERVE.min(self.within / 3);
         let due = self.began + self.within - reserve;
-        let pulls: u32 = look.pooled.routes.values().map(|arms| arms[TRIAL].pulls).sum();
-        let soaked = look.warm_since.is_some_and(|since| now >= since + SOAK || pulls >= SOAK_PULLS);
+        let pulls: u32 = look
+            .pooled
+            .routes
+            .values()
+            .map(|arms| arms[TRIAL].pulls)
+            .sum();
+        let soaked = look
+            .warm_since
+            .is_some_and(|since| now >= since + SOAK || pulls >= SOAK_PULLS);
         let ripe = soaked && outcomes >= LEAST_OUTCOMES && now >= due;
         let doubted = self.doubt() >= DOUBT || self.duel.dropped() == Some(TRIAL);
         if ripe && !doubted {
--- a/crates/rollout/src/trial.rs
+++ b/crates/rollout/src/trial.rs
@@ -119,10 +119,10 @@
             totals.spent_ms += seen.spent / 1000;
         }
         if seen.trial {
-            let spot = self
-                .spots
-                .entry(seen.appliance)
-                .or_insert(Spot { appliance: seen.appliance, ..Spot::default() });
+            let spot = self.spots.entry(seen.appliance).or_insert(Spot {
+                appliance: seen.appliance,
+                ..Spot::default()
+            });
             spot.outcomes += 1;
             spot.bad += u32::from(seen.end == End::Failed);
             spot.late += u32::from(seen.end != End::Failed && !seen.in_time && !seen.cold);
@@ -160,7 +160,12 @@
             service: self.service.clone(),
             order: self.order,
             vote: self.vote,
-            totals: self.routes.iter().copied().zip(self.totals.iter().copied()).collect(),
+            totals: self
+                .routes
+                .iter()
+                .copied()
+                .zip(self.totals.iter().copied())
+                .collect(),
             spots: self.spots.values().copied().collect(),
             taken: self.taken,
             ..Evidence::default()
@@ -170,5 +175,7 @@
 
 /// A name as a number that is the same everywhere (FNV-1a).
 pub fn number(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, b| (hash ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, b| {
+        (hash ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    })
 }
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -58,7 +58,14 @@
 
 /// A counter says who it is.
 fn hello(counter: usize, life: u64) -> Hello {
-    Hello { node: counter.to_string(), zone: "z".into(), life, edition: 1, term: 1, at: 0 }
+    Hello {
+        node: counter.to_string(),
+        zone: "z".into(),
+        life,
+        edition: 1,
+        term: 1,
+        at: 0,
+    }
 }
 
 /// Plays a rollout: `counters` with `rate` requests a second in all.
@@ -67,13 +74,26 @@
     let mut roster = Roster::default();
     roster.leads_in(Some(1));
     let trial = |chance: &mut ChaCha8Rng| {
-        Trial::new("s".into(), 1, rate / counters as f64, chance.gen_range(0.0..1.0))
+        Trial::new(
+            "s".into(),
+            1,
+            rate / counters as f64,
+            chance.gen_range(0.0..1.0),
+        )
     };
     let mut trials: Vec<Trial> = (0..counters).map(|_| trial(&mut chance)).collect();
     for c in 0..counters {
         assert!(roster.hello(0, c as u64, 1, &hello(c, seed + c as u64)));
     }
-    let jury = |now| Jury::new(0, WITHIN, Phase::Trial, SHARE, if now == 0 { 0.0 } else { rate });
+    let jury = |now| {
+        Jury::new(
+            0,
+            WITHIN,
+            Phase::Trial,
+            SHARE,
+            if now == 0 { 0.0 } else { rate },
+        )
+    };
     let (mut judge, mut phase, mut moved_at) = (jury(0), Phase::Trial, 0);
     let (mut exposed, mut requests) = (0.0, 0.0);
     let mut opened = false;
@@ -153,23 +173,53 @@
             !due
         });
         // Reports: twice a second, ten times while the service moves.
-        let every = if phase == Phase::Moving { 100 * MS } else { 500 * MS };
+        let every = if phase == Phase::Moving {
+            100 * MS
+        } else {
+            500 * MS
+        };
         if now % every == 0 {
             for (c, trial) in trials.iter().enumerate() {
-                let link =
-                    if trouble == Trouble::Leader && now >= 7_000 * MS { None } else { Some(c as u64) };
+                let link = if trouble == Trouble::Leader && now >= 7_000 * MS {
+                    None
+                } else {
+                    Some(c as u64)
+                };
                 let link = link.unwrap_or_else(|| counters as u64 + 1 + c as u64);
-                let told = Evidence { phase: Some(phase), age: now, ..trial.evidence() };
-                roster.report(now, link, Report { edition: 1, evidence: vec![told], ..Report::default() });
+                let told = Evidence {
+                    phase: Some(phase),
+                    age: now,
+                    ..trial.evidence()
+                };
+                roster.report(
+                    now,
+                    link,
+                    Report {
+                        edition: 1,
+                        evidence: vec![told],
+                        ..Report::default()
+                    },
+                );
             }
         }
         if now % (150 * MS) == 0 {
             let pooled = roster.pooled("s", 1);
             let leaving = roster.leaving(now, "s", 1);
-            match judge.look(Look { now, pooled: &pooled, listed, warm_since, leaving, away: 0 }) {
+            match judge.look(Look {
+                now,
+                pooled: &pooled,
+                listed,
+                warm_since,
+                leaving,
+                away: 0,
+            }) {
                 Step::None => {}
                 Step::Stage(stage) => {
-                    assert!(!(opened && stage.guarded), "seed {seed}: guarded again after {} ms", now / MS);
+                    assert!(
+                        !(opened && stage.guarded),
+                        "seed {seed}: guarded again after {} ms",
+                        now / MS
+                    );
                     opened |= !stage.guarded;
                     trials.iter_mut().for_each(|t| t.enter(stage));
                 }
@@ -185,13 +235,26 @@
     }
     // The term ends after what is decided; its requests count.
     requests += rate * (WITHIN.saturating_sub(moved_at) as f64 / 1e6);
-    Outcome { phase, at: moved_at, exposed, requests, account: judge.account(&roster.pooled("s", 1)) }
+    Outcome {
+        phase,
+        at: moved_at,
+        exposed,
+        requests,
+        account: judge.account(&roster.pooled("s", 1)),
+    }
 }
 
 /// Guards against a bad build that is carried, or met by more than the rules allow, whatever else happens.
 #[rstest]
 fn a_bad_build_is_returned_within_its_exposure(
-    #[values(Build::Fails, Build::Slow, Build::OneRoute, Build::Late, Build::UnderLoad)] build: Build,
+    #[values(
+        Build::Fails,
+        Build::Slow,
+        Build::OneRoute,
+        Build::Late,
+        Build::UnderLoad
+    )]
+    build: Build,
     #[values(Trouble::Calm, Trouble::Leader, Trouble::Restarts)] trouble: Trouble,
     #[values((9, 110.0), (12, 250.0))] size: (usize, f64),
 ) {
@@ -199,7 +262,12 @@
         let end = play(seed, build, trouble, size.0, size.1);
         assert_eq!(end.phase, Phase::Returned, "seed {seed}: {}", end.account);
         let most = SHARE * end.requests + SLACK;
-        assert!(end.exposed <= most, "seed {seed}: {} of {}, at most {most}", end.exposed, end.requests);
+        assert!(
+            end.exposed <= most,
+            "seed {seed}: {} of {}, at most {most}",
+            end.exposed,
+            end.requests
+        );
     }
 }
 
@@ -212,7 +280,11 @@
     for seed in 0..25 {
         let end = play(seed, Build::Good, trouble, size.0, size.1);
         assert_eq!(end.phase, Phase::Delivered, "seed {seed}: {}", end.account);
-        assert!(end.at < WITHIN, "seed {seed}: delivered {} ms late", (end.at - WITHIN) / 1000);
+        assert!(
+            end.at < WITHIN,
+            "seed {seed}: delivered {} ms late",
+            (end.at - WITHIN) / 1000
+        );
     }
 }
 
@@ -223,12 +295,26 @@
 ) {
     for seed in 0..25 {
         let good = play(seed, Build::Good, Trouble::OrdersOnly, size.0, size.1);
-        assert_eq!(good.phase, Phase::Delivered, "seed {seed}: {}", good.account);
-        assert!(good.at < WITHIN, "seed {seed}: delivered {} ms late", (good.at - WITHIN) / 1000);
+        assert_eq!(
+            good.phase,
+            Phase::Delivered,
+            "seed {seed}: {}",
+            good.account
+        );
+        assert!(
+            good.at < WITHIN,
+            "seed {seed}: delivered {} ms late",
+            (good.at - WITHIN) / 1000
+        );
         let bad = play(seed, Build::Fails, Trouble::OrdersOnly, size.0, size.1);
         assert_eq!(bad.phase, Phase::Returned, "seed {seed}: {}", bad.account);
         let most = SHARE * bad.requests + SLACK;
-        assert!(bad.exposed <= most, "seed {seed}: {} of {}, at most {most}", bad.exposed, bad.requests);
+        assert!(
+            bad.exposed <= most,
+            "seed {seed}: {} of {}, at most {most}",
+            bad.exposed,
+            bad.requests
+        );
     }
 }
 
@@ -237,8 +323,9 @@
 fn sick_appliances_of_both_builds_condemn_neither() {
     let mut delivered = 0;
     for seed in 0..10 {
-        delivered +=
-            usize::from(play(seed, Build::Good, Trouble::SickOnes, 9, 110.0).phase == Phase::Delivered);
+        delivered += usize::from(
+            play(seed, Build::Good, Trouble::SickOnes, 9, 110.0).phase == Phase::Delivered,
+        );
     }
     assert!(delivered >= 9, "{delivered} of 10");
 }
--- a/crates/sequential-test/src/case.rs
+++ b/crates/sequential-test/src/case.rs
@@ -114,20 +114,37 @@
         let o = p / (1.0 - p) * if less { 1.0 / odds } else { odds };
         [p, o / (1.0 + o)]
     };
-    let points = ABOVE.iter().flat_map(|p| ODDS.iter().map(move |o| moved(*p, *o))).collect();
-    Bets { points, beyond: 0.0 }
+    let points = ABOVE
+        .iter()
+        .flat_map(|p| ODDS.iter().map(move |o| moved(*p, *o)))
+        .collect();
+    Bets {
+        points,
+        beyond: 0.0,
+    }
 }
 
 impl Stream {
     fn new(vote: Vote, what: &'static str, group: Option<usize>, rate: f64, bets: Bets) -> Stream {
         // A vote back leaves out the trial's nodes in turn, a vote on the earlier ones.
         let side = if vote == Vote::Back { TRIAL } else { EARLIER };
-        Stream { vote, what, group, rate, jury: Jury::new(bets, side), block: Block::default() }
+        Stream {
+            vote,
+            what,
+            group,
+            rate,
+            jury: Jury::new(bets, side),
+            block: Block::default(),
+        }
     }
 
     fn add(&mut self, side: usize, place: usize, tally: Tally) {
         self.block.sides[side].add(tally);
-        let left_out = if self.vote == Vote::Back { TRIAL } else { EARLIER };
+        let left_out = if self.vote == Vote::Back {
+            TRIAL
+        } else {
+            EARLIER
+        };
         if side == left_out {
             if place >= self.block.parts.len() {
                 self.block.parts.resize(place + 1, Tally::default());
@@ -164,13 +181,17 @@
 
 impl Places {
     fn of(&mut self, node: usize) -> usize {
-        let at = self.nodes.iter().position(|n| *n == node).unwrap_or_else(|| {
-            if self.nodes.len() < 4 * PLACES {
-                self.nodes.push(node);
-                return self.nodes.len() - 1;
-            }
-            node
-        });
+        let at = self
+            .nodes
+            .iter()
+            .position(|n| *n == node)
+            .unwrap_or_else(|| {
+                if self.nodes.len() < 4 * PLACES {
+                    self.nodes.push(node);
+                    return self.nodes.len() - 1;
+                }
+                node
+            });
         let place = at % PLACES;
         if place >= self.errors.len() {
             self.errors.resize(place + 1, Tally::default());
@@ -260,11 +281,29 @@
         let each = rate * terms::ERRORS / (groups + 1) as f64;
         let good = case.terms.good_errors;
         for group in (0..groups).map(Some).chain([None]) {
-            case.streams.push(Stream::new(Vote::Back, "errors", group, each, Bets::fails(good)));
+            case.streams.push(Stream::new(
+                Vote::Back,
+                "errors",
+                group,
+                each,
+                Bets::fails(good),
+            ));
         }
-        case.streams.push(Stream::new(Vote::Back, "work", None, rate * terms::WORK, shifts(false)));
+        case.streams.push(Stream::new(
+            Vote::Back,
+            "work",
+            None,
+            rate * terms::WORK,
+            shifts(false),
+        ));
         let complained = Bets::fails(case.terms.good_complaints);
-        case.streams.push(Stream::new(Vote::Back, "complaints", None, rate * terms::COMPLAINTS, complained));
+        case.streams.push(Stream::new(
+            Vote::Back,
+            "complaints",
+            None,
+            rate * terms::COMPLAINTS,
+            complained,
+        ));
         case.open_stage();
         case
     }
@@ -274,7 +313,10 @@
     fn open_stage(&mut self) {
         self.streams.retain(|s| s.vote == Vote::Back);
         let (rate, t) = (self.terms.on_rate(self.voters), &self.terms);
-        let mut on = |what, group, bets| self.streams.push(Stream::new(Vote::On, what, group, rate, bets));
+        let mut on = |what, group, bets| {
+            self.streams
+                .push(Stream::new(Vote::On, what, group, rate, bets))
+        };
         for group in 0..self.groups {
             on("errors", Some(group), Bets::holds(t.bad_group));
         }
@@ -318,13 +360,16 @@
         self.advance(now);
         let side = o.side.min(TRIAL);
         let heard = o.end != End::Unheard;
-        let admitted = o.key.is_none_or(|k| !heard || self.keys.admit(k, self.block, self.stage));
+        let admitted = o
+            .key
+            .is_none_or(|k| !heard || self.keys.admit(k, self.block, self.stage));
         if let (Some(key), End::Erred | End::ErredAgain) = (o.key, o.end) {
             self.keys.erred(key);
         }
         if self.past.is_some() {
             if side == TRIAL && heard && admitted && o.end != End::ErredAgain {
-                self.past_block.add(Tally::new(1.0, f64::from(u8::from(o.end == End::Erred))));
+                self.past_block
+                    .add(Tally::new(1.0, f64::from(u8::from(o.end == End::Erred))));
             }
             return;
         }
@@ -334,7 +379,11 @@
         }
         if let Some(time) = o.time.filter(|t| t.is_finite()) {
             let times = &mut self.places[side].times[place];
-            *times = (times.0 + 1.0, times.1 + time, times.2 || o.age >= self.terms.shows_after);
+            *times = (
+                times.0 + 1.0,
+                times.1 + time,
+                times.2 || o.age >= self.terms.shows_after,
+            );
         }
         if !heard || !admitted {
             return;
@@ -349,8 +398,8 @@
                 // Bad on all its nodes, it is bad without the worst, if that was picked before.
                 Vote::On if side == TRIAL && self.left_out[0] == Some(place) => false,
                 Vote::On => {
-                    let late =
-                        s.what == "later errors" && (side == EARLIER || o.age >= self.terms.shows_after);
+                    let late = s.what == "later errors"
+                        && (side == EARLIER || o.age >= self.terms.shows_after);
                     s.what == "errors" || late
                 }
             };
@@ -407,7 +456,11 @@
     /// called at each review; `slowed`: whether all are, or have just been, slower than before the trial.
     pub fn rest(&mut self, now: f64, slowed: bool) -> bool {
         self.advance(now);
-        self.slow_since = if slowed { self.slow_since.or(Some(self.now)) } else { None };
+        self.slow_since = if slowed {
+            self.slow_since.or(Some(self.now))
+        } else {
+            None
+        };
         self.pauses.step(self.now - self.stage_began, slowed)
     }
 
@@ -443,16 +496,24 @@
         };
         // What nothing speaks for yet is no figure: JSON knows no infinity.
         let on = if on.is_finite() { on } else { 0.0 };
-        let remaining = self.trail.first().map_or(f64::INFINITY, |(then, old_back, old_on)| {
-            let spent = self.now - then;
-            let until = |now: f64, old: f64| match now - old {
-                _ if now >= 1.0 => 0.0,
-                grown if grown > 0.0 && spent > 0.0 => (1.0 - now) / grown * spent,
-                _ => f64::INFINITY,
-            };
-            until(back, *old_back).min(until(on, *old_on))
-        });
-        Look { opinion, back, on, remaining: Some(remaining).filter(|r| *r < LONGEST) }
+        let remaining = self
+            .trail
+            .first()
+            .map_or(f64::INFINITY, |(then, old_back, old_on)| {
+                let spent = self.now - then;
+                let until = |now: f64, old: f64| match now - old {
+                    _ if now >= 1.0 => 0.0,
+                    grown if grown > 0.0 && spent > 0.0 => (1.0 - now) / grown * spent,
+                    _ => f64::INFINITY,
+                };
+                until(back, *old_back).min(until(on, *old_on))
+            });
+        Look {
+            opinion,
+            back,
+            on,
+            remaining: Some(remaining).filter(|r| *r < LONGEST),
+        }
     }
 
     /// Whether a stage has lasted so long without enough evidence that the fallback holds, and says on.
@@ -496,7 +557,13 @@
         };
         let (pairs, faster) = self.pauses.pairs;
         let pairs = (f64::from(pairs), f64::from(faster));
-        entries.push(more("pauses", self.pauses.log(), self.pauses_needed(), pairs, (0.0, 0.0)));
+        entries.push(more(
+            "pauses",
+            self.pauses.log(),
+            self.pauses_needed(),
+            pairs,
+            (0.0, 0.0),
+        ));
         if self.slow_since.is_some() {
             // Not a logarithm: how long it has lasted, and how long none does.
             let since = self.stays() * AFTERMATH * self.terms.shared_lasts;
@@ -509,7 +576,13 @@
             ));
         }
         if let Some(p) = &self.past {
-            entries.push(more("past", p.log(), self.past_needed(), (0.0, 0.0), pair(p.seen)));
+            entries.push(more(
+                "past",
+                p.log(),
+                self.past_needed(),
+                (0.0, 0.0),
+                pair(p.seen),
+            ));
         }
         entries
     }
@@ -525,7 +598,8 @@
     /// A path group with less than one outcome in a hundred is not waited for: it is named as not judged.
     fn too_rare(&self, s: &Stream) -> bool {
         let brought = |s: &Stream| s.jury.seen[EARLIER].n + s.jury.seen[TRIAL].n;
-        let of_all = |other: &&Stream| other.vote == s.vote && other.what == s.what && other.group.is_none();
+        let of_all =
+            |other: &&Stream| other.vote == s.vote && other.what == s.what && other.group.is_none();
         let all = self.streams.iter().find(of_all).map_or(0.0, brought);
         s.group.is_some() && all >= 100.0 && brought(s) < 0.01 * all
     }
@@ -550,14 +624,23 @@
         let now = std::mem::take(&mut self.answered);
         self.earlier_answers.push_back(now.clone());
         let blocks = (self.terms.complaints_late / BLOCK).min(LATEST) as usize;
-        let then = if self.earlier_answers.len() > blocks { self.earlier_answers.pop_front() } else { None };
+        let then = if self.earlier_answers.len() > blocks {
+            self.earlier_answers.pop_front()
+        } else {
+            None
+        };
         let then = then.unwrap_or_default();
         for side in [EARLIER, TRIAL] {
             for place in 0..now[side].len().max(then[side].len()) {
-                let at = |list: &[Vec<Tally>; 2]| list[side].get(place).copied().unwrap_or_default();
+                let at =
+                    |list: &[Vec<Tally>; 2]| list[side].get(place).copied().unwrap_or_default();
                 let (now, then) = (at(&now), at(&then));
                 for s in self.streams.iter_mut().filter(|s| s.what == "complaints") {
-                    let n = if s.vote == Vote::Back { now.n.max(then.n) } else { then.n };
+                    let n = if s.vote == Vote::Back {
+                        now.n.max(then.n)
+                    } else {
+                        then.n
+                    };
                     s.add(side, place, Tally::new(n, now.marked.min(n)));
                 }
             }
--- a/crates/sequential-test/src/jury.rs
+++ b/crates/sequential-test/src/jury.rs
@@ -33,14 +33,21 @@
     /// A jury that leaves out nodes of this side (0 the earlier, 1 the trial).
     pub fn new(bets: Bets, side: usize) -> Jury {
         let all = Wealth::new(&bets);
-        Jury { bets, side, all, without: Vec::new(), seen: Sides::default() }
+        Jury {
+            bets,
+            side,
+            all,
+            without: Vec::new(),
+            seen: Sides::default(),
+        }
     }
 
     pub fn take(&mut self, block: &Block) {
         if block.sides[0].n + block.sides[1].n <= 0.0 {
             return;
         }
-        self.without.resize(block.parts.len().max(self.without.len()), None);
+        self.without
+            .resize(block.parts.len().max(self.without.len()), None);
         for (place, wealth) in self.without.iter_mut().enumerate() {
             let part = block.parts.get(place).copied().unwrap_or_default();
             // Until a node has brought something, leaving it out is the same as taking all.
@@ -61,9 +68,26 @@
     pub fn log(&self, few_speak: bool) -> (f64, Option<usize>) {
         let met = self.without.iter().flatten().count();
         if met < FEW {
-            return (if few_speak { self.all.log } else { self.all.log.min(0.0) }, None);
+            return (
+                if few_speak {
+                    self.all.log
+                } else {
+                    self.all.log.min(0.0)
+                },
+                None,
+            );
         }
-        let each = self.without.iter().enumerate().filter_map(|(i, w)| Some((w.as_ref()?.log, Some(i))));
-        each.fold((self.all.log, None), |least, next| if next.0 < least.0 { next } else { least })
+        let each = self
+            .without
+            .iter()
+            .enumerate()
+            .filter_map(|(i, w)| Some((w.as_ref()?.log, Some(i))));
+        each.fold((self.all.log, None), |least, next| {
+            if next.0 < least.0 {
+                next
+            } else {
+                least
+            }
+        })
     }
 }
--- a/crates/sequential-test/src/pair.rs
+++ b/crates/sequential-test/src/pair.rs
@@ -26,7 +26,10 @@
     /// Without another's part; never below nothing.
     pub fn less(&self, other: Tally) -> Tally {
         let n = (self.n - other.n).max(0.0);
-        Tally { n, marked: (self.marked - other.marked).clamp(0.0, n) }
+        Tally {
+            n,
+            marked: (self.marked - other.marked).clamp(0.0, n),
+        }
     }
     /// The share that is marked, 0 where there is none.
     pub fn share(&self) -> f64 {
@@ -49,7 +52,11 @@
     let (a, b) = (r * all, passes * (1.0 + r) + marked[0] + r * marked[1]);
     // The smaller root, in the form that does not lose digits.
     let root = (b * b - 4.0 * a * passes).max(0.0).sqrt();
-    let q = if b + root > 0.0 { 2.0 * passes / (b + root) } else { 1.0 };
+    let q = if b + root > 0.0 {
+        2.0 * passes / (b + root)
+    } else {
+        1.0
+    };
     [1.0 - q, 1.0 - r * q].map(|p| p.clamp(EDGE, 1.0 - EDGE))
 }
 
--- a/crates/sequential-test/src/past.rs
+++ b/crates/sequential-test/src/past.rs
@@ -30,7 +30,17 @@
         let span = span.max(0.5);
         let usual = usual.clamp(1e-4, 0.9);
         let (sum, last, loudest) = (0.0, 0.0, 0.0);
-        Past { usual, began, span, index: 0, wealth, sum, last, loudest, seen: Tally::default() }
+        Past {
+            usual,
+            began,
+            span,
+            index: 0,
+            wealth,
+            sum,
+            last,
+            loudest,
+            seen: Tally::default(),
+        }
     }
 
     /// Takes in a block of the released build's outcomes.
@@ -40,7 +50,11 @@
             self.loudest = self.loudest.max(self.last + self.wealth.log);
             self.sum += self.wealth.log;
             // A span without outcomes between: its neighbour is the empty one.
-            self.last = if index == self.index + 1 { self.wealth.log } else { 0.0 };
+            self.last = if index == self.index + 1 {
+                self.wealth.log
+            } else {
+                0.0
+            };
             (self.index, self.wealth) = (index, Wealth::of(POINTS.len()));
         }
         if block.n > 0.0 {
@@ -49,7 +63,8 @@
             self.wealth.settle(|i| {
                 // A point at or below the usual bets on nothing.
                 let a = POINTS[i].max(usual);
-                block.marked * (a / usual).ln() + (block.n - block.marked) * ((1.0 - a) / (1.0 - usual)).ln()
+                block.marked * (a / usual).ln()
+                    + (block.n - block.marked) * ((1.0 - a) / (1.0 - usual)).ln()
             });
         }
     }
--- a/crates/sequential-test/src/pauses.rs
+++ b/crates/sequential-test/src/pauses.rs
@@ -51,7 +51,18 @@
     pub fn new(seed: u64, window: f64) -> Pauses {
         let wealth = Wealth::of(STAKES.len());
         let (means, levels, sent, pairs) = Default::default();
-        Pauses { wealth, window, pair: None, means, whole: false, seed, acquits: 0.0, levels, sent, pairs }
+        Pauses {
+            wealth,
+            window,
+            pair: None,
+            means,
+            whole: false,
+            seed,
+            acquits: 0.0,
+            levels,
+            sent,
+            pairs,
+        }
     }
 
     /// The logarithm of the evidence.
@@ -73,7 +84,11 @@
         let pair = (since.max(0.0) / (2.0 * self.window)).floor();
         let within = since.max(0.0) - pair * 2.0 * self.window;
         let second = within >= self.window;
-        (pair as u64, self.coin(pair as u64) == second, within - if second { self.window } else { 0.0 })
+        (
+            pair as u64,
+            self.coin(pair as u64) == second,
+            within - if second { self.window } else { 0.0 },
+        )
     }
 
     /// To be called some times in a window, `since` seconds into the stage. `doubt`: whether all are slower than
@@ -117,7 +132,14 @@
         let rested = self.sent[1] <= RESTED * self.sent[0];
         if self.whole && rested && open.n >= ANSWERS && paused.n >= ANSWERS {
             let faster = paused.sum / paused.n < open.sum / open.n;
-            self.wealth.settle(|i| if faster { 1.0 + STAKES[i] } else { 1.0 - STAKES[i] }.ln());
+            self.wealth.settle(|i| {
+                if faster {
+                    1.0 + STAKES[i]
+                } else {
+                    1.0 - STAKES[i]
+                }
+                .ln()
+            });
             // A build that slows all wins at least so many pairs; another's slowdown half of them.
             let [open, paused] = self.levels;
             let gone = paused.sum / paused.n < open.sum / open.n;
