--- a/crates/sequential-test/src/terms.rs
+++ b/crates/sequential-test/src/terms.rs
@@ -114,7 +114,9 @@
         for (name, least, most, place) in ROWS {
             match number(name) {
                 Some(value) if (least..=most).contains(&value) => *place(&mut terms) = value,
-                Some(value) => wrong.push(format!("{name}: found {value}, expected {least} to {most}")),
+                Some(value) => {
+                    wrong.push(format!("{name}: found {value}, expected {least} to {most}"))
+                }
                 None => {}
             }
         }
@@ -122,7 +124,10 @@
             match word(name) {
                 "" => {}
                 found if words.contains(&found) => *place(&mut terms) = found == words[1],
-                found => wrong.push(format!("{name}: found {found}, expected {} or {}", words[0], words[1])),
+                found => wrong.push(format!(
+                    "{name}: found {found}, expected {} or {}",
+                    words[0], words[1]
+                )),
             }
         }
         if terms.good_errors >= terms.bad_errors {
--- a/crates/sequential-test/src/tests.rs
+++ b/crates/sequential-test/src/tests.rs
@@ -38,7 +38,14 @@
 /// at least that.
 fn null(p0: f64, part: f64, beyond: f64, back: bool) -> [f64; 2] {
     let edge = p0 + beyond * (1.0 - p0);
-    [p0, if back { edge * part } else { edge + (1.0 - edge) * part }]
+    [
+        p0,
+        if back {
+            edge * part
+        } else {
+            edge + (1.0 - edge) * part
+        },
+    ]
 }
 
 proptest! {
@@ -118,7 +125,11 @@
     }
 }
 
-const ALONE: Voters = Voters { all: 1.0, back: 1.0, on: 1.0 };
+const ALONE: Voters = Voters {
+    all: 1.0,
+    back: 1.0,
+    on: 1.0,
+};
 
 /// A release as it goes by: what is drawn at each hit.
 struct Day<'a> {
@@ -158,11 +169,25 @@
         let side = (day.bound)(key).unwrap_or(drawn);
         let node = [3 + chance.gen_range(0..12), chance.gen_range(0..3)][side];
         let group = key % day.groups;
-        let end =
-            if chance.gen_bool((day.errs)(now, side, group, node, key)) { End::Erred } else { End::Passed };
+        let end = if chance.gen_bool((day.errs)(now, side, group, node, key)) {
+            End::Erred
+        } else {
+            End::Passed
+        };
         let noise = (0..4).map(|_| chance.gen_range(-0.5..0.5)).sum::<f64>();
         let time = Some((day.time)(now, side) + noise);
-        case.outcome(now, &Outcome { side, group, node, key: Some(key), age: now, end, time });
+        case.outcome(
+            now,
+            &Outcome {
+                side,
+                group,
+                node,
+                key: Some(key),
+                age: now,
+                end,
+                time,
+            },
+        );
         if i % 10 == 0 {
             let look = case.look(now);
             most = most.max(look.back);
@@ -180,39 +205,76 @@
 fn count(day: &Day, runs: u64, terms: &Terms) -> (usize, usize) {
     let all: Vec<_> = (0..runs).map(|seed| play(day, seed, terms)).collect();
     let back = all.iter().filter(|a| a.0.is_some()).count();
-    let on = all.iter().filter(|a| a.1.is_some_and(|on| a.0.is_none_or(|back| on < back))).count();
+    let on = all
+        .iter()
+        .filter(|a| a.1.is_some_and(|on| a.0.is_none_or(|back| on < back)))
+        .count();
     (back, on)
 }
 
 #[test]
 fn a_calm_good_release_goes_on_soon_and_a_bad_one_back_sooner() {
-    let runs: Vec<_> = (0..20).map(|seed| play(&CALM, seed, &Terms::default())).collect();
-    assert!(runs.iter().all(|(back, on, _)| back.is_none() && on.is_some_and(|t| t < 12.0)), "{runs:?}");
-    let bad = Day { errs: &|_, side, _, _, _| [0.002, 0.1][side], ..CALM };
-    let runs: Vec<_> = (0..20).map(|seed| play(&bad, seed, &Terms::default())).collect();
-    assert!(runs.iter().all(|(back, on, _)| back.is_some_and(|t| t < 12.0) && on.is_none()), "{runs:?}");
+    let runs: Vec<_> = (0..20)
+        .map(|seed| play(&CALM, seed, &Terms::default()))
+        .collect();
+    assert!(
+        runs.iter()
+            .all(|(back, on, _)| back.is_none() && on.is_some_and(|t| t < 12.0)),
+        "{runs:?}"
+    );
+    let bad = Day {
+        errs: &|_, side, _, _, _| [0.002, 0.1][side],
+        ..CALM
+    };
+    let runs: Vec<_> = (0..20)
+        .map(|seed| play(&bad, seed, &Terms::default()))
+        .collect();
+    assert!(
+        runs.iter()
+            .all(|(back, on, _)| back.is_some_and(|t| t < 12.0) && on.is_none()),
+        "{runs:?}"
+    );
 }
 
 #[test]
 fn looking_after_every_few_hits_sends_back_no_more_than_stated() {
     // At the very edge of good; rates far above the default, so that some hundred runs can tell.
-    let terms = Terms { good_sent_back: 0.2, good_errors: 0.01, ..Terms::default() };
-    let edge = Day { errs: &|_, side, _, _, _| [0.01, 0.01 + 0.01 * 0.99][side], seconds: 60.0, ..CALM };
+    let terms = Terms {
+        good_sent_back: 0.2,
+        good_errors: 0.01,
+        ..Terms::default()
+    };
+    let edge = Day {
+        errs: &|_, side, _, _, _| [0.01, 0.01 + 0.01 * 0.99][side],
+        seconds: 60.0,
+        ..CALM
+    };
     let (back, _) = count(&edge, 150, &terms);
     assert!(back <= 30, "{back} of 150");
 }
 
 #[test]
 fn the_mildest_bad_build_is_carried_no_more_than_stated() {
-    let terms = Terms { bad_carried: 0.2, ..Terms::default() };
-    let edge = Day { errs: &|_, side, _, _, _| [0.002, 0.042][side], seconds: 20.0, ..CALM };
+    let terms = Terms {
+        bad_carried: 0.2,
+        ..Terms::default()
+    };
+    let edge = Day {
+        errs: &|_, side, _, _, _| [0.002, 0.042][side],
+        seconds: 20.0,
+        ..CALM
+    };
     let (_, on) = count(&edge, 150, &terms);
     assert!(on <= 30, "{on} of 150");
 }
 
 #[test]
 fn twenty_path_groups_are_no_twenty_chances() {
-    let many = Day { groups: 20, errs: &|_, _, _, _, _| 0.03, ..CALM };
+    let many = Day {
+        groups: 20,
+        errs: &|_, _, _, _, _| 0.03,
+        ..CALM
+    };
     assert_eq!(count(&many, 40, &Terms::default()).0, 0);
 }
 
@@ -227,7 +289,11 @@
         ..CALM
     };
     assert_eq!(count(&failing, 40, &Terms::default()).0, 0);
-    let few = Day { keys: 3, errs: &|_, _, _, _, key| if key == 0 { 1.0 } else { 0.0 }, ..CALM };
+    let few = Day {
+        keys: 3,
+        errs: &|_, _, _, _, key| if key == 0 { 1.0 } else { 0.0 },
+        ..CALM
+    };
     // Three keys can't speak for a release either way.
     assert_eq!(count(&few, 20, &Terms::default()), (0, 0));
 }
@@ -243,7 +309,18 @@
             }
         }
     };
-    assert_eq!(count(&Day { errs: &sick(0), ..CALM }, 40, &Terms::default()).0, 0);
+    assert_eq!(
+        count(
+            &Day {
+                errs: &sick(0),
+                ..CALM
+            },
+            40,
+            &Terms::default()
+        )
+        .0,
+        0
+    );
     let covered = |_: f64, side: usize, _: usize, node: usize, _: usize| {
         if node == 5 {
             0.6
@@ -251,29 +328,72 @@
             [0.002, 0.05][side]
         }
     };
-    let (_, on) = count(&Day { errs: &covered, ..CALM }, 40, &Terms::default());
+    let (_, on) = count(
+        &Day {
+            errs: &covered,
+            ..CALM
+        },
+        40,
+        &Terms::default(),
+    );
     assert!(on <= 2, "{on} of 40");
 }
 
 #[test]
 fn a_lone_sick_node_is_its_build_unless_told_to_wait_for_the_third() {
     let only = |seed: u64, lone_condemns: bool| {
-        let mut case = Case::new(Terms { lone_condemns, ..Terms::default() }, ALONE, 1, seed, 1.0);
+        let mut case = Case::new(
+            Terms {
+                lone_condemns,
+                ..Terms::default()
+            },
+            ALONE,
+            1,
+            seed,
+            1.0,
+        );
         for i in 0..600 {
             let (now, side) = (f64::from(i) * 0.02, usize::from(i % 4 == 0));
-            let end = if side == TRIAL && i % 8 == 0 { End::Erred } else { End::Passed };
-            let (node, key) = (if side == TRIAL { 1 } else { 3 + i as usize % 9 }, Some(i as usize));
-            case.outcome(now, &Outcome { side, group: 0, node, key, age: 60.0, end, time: None });
+            let end = if side == TRIAL && i % 8 == 0 {
+                End::Erred
+            } else {
+                End::Passed
+            };
+            let (node, key) = (
+                if side == TRIAL { 1 } else { 3 + i as usize % 9 },
+                Some(i as usize),
+            );
+            case.outcome(
+                now,
+                &Outcome {
+                    side,
+                    group: 0,
+                    node,
+                    key,
+                    age: 60.0,
+                    end,
+                    time: None,
+                },
+            );
         }
         case.look(12.5).opinion
     };
-    assert_eq!((only(1, true), only(1, false)), (Opinion::Back, Opinion::NotYet));
+    assert_eq!(
+        (only(1, true), only(1, false)),
+        (Opinion::Back, Opinion::NotYet)
+    );
 }
 
 #[test]
 fn a_trouble_of_all_that_begins_with_the_stage_is_nobodys_fault() {
-    let errors = Day { errs: &|t, _, _, _, _| if t < 6.0 { 0.25 } else { 0.002 }, ..CALM };
-    let slow = Day { time: &|t, _| if t < 10.0 { 0.9 } else { 0.0 }, ..CALM };
+    let errors = Day {
+        errs: &|t, _, _, _, _| if t < 6.0 { 0.25 } else { 0.002 },
+        ..CALM
+    };
+    let slow = Day {
+        time: &|t, _| if t < 10.0 { 0.9 } else { 0.0 },
+        ..CALM
+    };
     for day in [errors, slow] {
         let (back, on) = count(&day, 40, &Terms::default());
         assert!(back == 0 && on >= 38, "{back} back, {on} on");
@@ -282,17 +402,35 @@
 
 #[test]
 fn work_is_told_by_times_against_the_other_nodes_of_the_same_moment() {
-    let good = Day { time: &|_, side| [0.0, 0.14][side], ..CALM };
+    let good = Day {
+        time: &|_, side| [0.0, 0.14][side],
+        ..CALM
+    };
     assert_eq!(count(&good, 40, &Terms::default()).0, 0);
-    let bad = Day { time: &|_, side| [0.0, 0.9][side], ..CALM };
-    let runs: Vec<_> = (0..20).map(|seed| play(&bad, seed, &Terms::default())).collect();
-    assert!(runs.iter().all(|(back, on, _)| back.is_some_and(|t| t < 15.0) && on.is_none()), "{runs:?}");
+    let bad = Day {
+        time: &|_, side| [0.0, 0.9][side],
+        ..CALM
+    };
+    let runs: Vec<_> = (0..20)
+        .map(|seed| play(&bad, seed, &Terms::default()))
+        .collect();
+    assert!(
+        runs.iter()
+            .all(|(back, on, _)| back.is_some_and(|t| t < 15.0) && on.is_none()),
+        "{runs:?}"
+    );
 }
 
 #[test]
 fn a_build_that_turns_late_is_not_let_on_before_its_nodes_show_it() {
-    let terms = Terms { shows_after: 12.0, ..Terms::default() };
-    let late = Day { errs: &|t, side, _, _, _| if side == TRIAL && t > 9.0 { 0.3 } else { 0.002 }, ..CALM };
+    let terms = Terms {
+        shows_after: 12.0,
+        ..Terms::default()
+    };
+    let late = Day {
+        errs: &|t, side, _, _, _| if side == TRIAL && t > 9.0 { 0.3 } else { 0.002 },
+        ..CALM
+    };
     let (back, on) = count(&late, 40, &terms);
     assert!(back == 40 && on == 0, "{back} back, {on} on");
 }
@@ -304,15 +442,44 @@
         let (side, now) = (usize::from(i % 20 == 0), f64::from(i) * 0.1);
         let end = End::Passed;
         let (group, key, age) = (0, Some(i as usize), 60.0);
-        case.outcome(now, &Outcome { side, group, node: i as usize % 4, key, age, end, time: None });
+        case.outcome(
+            now,
+            &Outcome {
+                side,
+                group,
+                node: i as usize % 4,
+                key,
+                age,
+                end,
+                time: None,
+            },
+        );
     }
     let look = case.look(12.0);
     assert_eq!(look.opinion, Opinion::NotYet);
     assert!(look.on < 1.0 && look.back < 0.5, "{look:?}");
-    let waits = Case::new(Terms { patience: 5.0, ..Terms::default() }, ALONE, 1, 1, 1.0);
+    let waits = Case::new(
+        Terms {
+            patience: 5.0,
+            ..Terms::default()
+        },
+        ALONE,
+        1,
+        1,
+        1.0,
+    );
     assert!(!waits.falls_back());
-    let mut goes =
-        Case::new(Terms { patience: 5.0, fallback_on: true, ..Terms::default() }, ALONE, 1, 1, 1.0);
+    let mut goes = Case::new(
+        Terms {
+            patience: 5.0,
+            fallback_on: true,
+            ..Terms::default()
+        },
+        ALONE,
+        1,
+        1,
+        1.0,
+    );
     goes.stage(0.0, 0.0);
     goes.look(4.0);
     assert!(!goes.falls_back());
@@ -323,13 +490,27 @@
 #[test]
 fn a_clock_that_stands_still_or_goes_back_counts_nothing_twice() {
     let mut case = Case::new(Terms::default(), ALONE, 1, 1, 1.0);
-    let o = |side, node| Outcome { side, group: 0, node, key: None, age: 9.0, end: End::Erred, time: None };
+    let o = |side, node| Outcome {
+        side,
+        group: 0,
+        node,
+        key: None,
+        age: 9.0,
+        end: End::Erred,
+        time: None,
+    };
     for now in [1.0, 1.0, 0.5, 1.0] {
         case.outcome(now, &o(TRIAL, 1));
         case.outcome(now, &o(EARLIER, 2));
     }
     let before = case.look(1.9);
-    let entry = || Entry { ..case.account().into_iter().find(|e| e.group.is_none()).expect("errors") };
+    let entry = || Entry {
+        ..case
+            .account()
+            .into_iter()
+            .find(|e| e.group.is_none())
+            .expect("errors")
+    };
     assert_eq!(entry().trial, (4.0, 4.0));
     let again = case.look(1.9);
     assert_eq!((before, case.look(0.0)), (again, again));
@@ -347,23 +528,45 @@
                 p.sent(t);
             }
             let pair = i / 20;
-            let faster = if slows { paused_now } else { (luck >> pair) & 1 == u32::from(i % 20 >= 10) };
-            (0..2).for_each(|_| p.time(t, if faster { 0.0 } else { 0.7 }, if faster { 0.0 } else { 0.7 }));
+            let faster = if slows {
+                paused_now
+            } else {
+                (luck >> pair) & 1 == u32::from(i % 20 >= 10)
+            };
+            (0..2).for_each(|_| {
+                p.time(
+                    t,
+                    if faster { 0.0 } else { 0.7 },
+                    if faster { 0.0 } else { 0.7 },
+                )
+            });
         }
         p
     };
-    let mean = (0..1024).map(|luck| coin(luck, false, false).log().exp()).sum::<f64>() / 1024.0;
+    let mean = (0..1024)
+        .map(|luck| coin(luck, false, false).log().exp())
+        .sum::<f64>()
+        / 1024.0;
     assert!(mean <= 1.0 + 1e-6, "{mean}");
     let slows = coin(0, true, false);
-    assert!(slows.pairs.0 >= 10 && slows.pairs.0 == slows.pairs.1, "{:?}", slows.pairs);
+    assert!(
+        slows.pairs.0 >= 10 && slows.pairs.0 == slows.pairs.1,
+        "{:?}",
+        slows.pairs
+    );
     assert!(slows.log() > -(0.01 * PAUSES).ln() - 1.5, "{}", slows.log());
     assert!(slows.acquits < -5.0);
     // One that has no part in it is acquitted by ten pairs in six of ten ways that luck may go.
-    let acquitted = (0..1024).filter(|luck| coin(*luck, false, false).acquits >= -0.05f64.ln()).count();
+    let acquitted = (0..1024)
+        .filter(|luck| coin(*luck, false, false).acquits >= -0.05f64.ln())
+        .count();
     assert!((600..700).contains(&acquitted), "{acquitted} of 1024");
     // Where a pause stops nothing, as keys are bound, its pairs tell nothing.
     let bound = coin(0, false, true);
-    assert_eq!((bound.pairs, bound.acquits, bound.log()), ((0, 0), 0.0, 0.0));
+    assert_eq!(
+        (bound.pairs, bound.acquits, bound.log()),
+        ((0, 0), 0.0, 0.0)
+    );
     let calm = Pauses::new(11, 1.0).step(0.0, false);
     assert!(!calm, "without doubt nothing rests");
 }
@@ -378,7 +581,11 @@
             let rests = case.rest(now, now < slow_for);
             for _ in 0..3 {
                 // Luck as fair as it gets: every other pair.
-                let time = if acquitted && (i / 20) % 2 == 0 { f64::from(u8::from(rests)) } else { 0.0 };
+                let time = if acquitted && (i / 20) % 2 == 0 {
+                    f64::from(u8::from(rests))
+                } else {
+                    0.0
+                };
                 case.earlier_time(
                     now,
                     if acquitted { time } else { 0.0 },
@@ -414,7 +621,13 @@
         most
     };
     let needed = -(0.01 * PAST).ln();
-    assert!(after(&|t| if (14.0..23.0).contains(&t) { 0.3 } else { 0.005 }) < 1.0);
+    assert!(
+        after(&|t| if (14.0..23.0).contains(&t) {
+            0.3
+        } else {
+            0.005
+        }) < 1.0
+    );
     assert!(after(&|t| if t > 14.0 { 0.15 } else { 0.005 }) > needed);
 }
 
@@ -422,21 +635,41 @@
 fn all_that_is_wrong_with_terms_is_said_and_the_parts_of_a_rate_add_up() {
     let one = |name: &'static str, value: f64| move |n: &str| (n == name).then_some(value);
     assert_eq!(Terms::read(|_| None, |_| "").expect("nothing stated"), None);
-    let stated = Terms::read(one("bad_carried", 0.1), |n| if n == "fallback" { "on" } else { "" })
-        .expect("good")
-        .expect("stated");
+    let stated = Terms::read(one("bad_carried", 0.1), |n| {
+        if n == "fallback" {
+            "on"
+        } else {
+            ""
+        }
+    })
+    .expect("good")
+    .expect("stated");
     assert!(stated.fallback_on && stated.bad_carried == 0.1 && stated.good_sent_back == 0.01);
-    let wrong = Terms::read(|n| (n != "good_errors").then_some(-3.0), |_| "perhaps").expect_err("all wrong");
-    for name in
-        ["good_sent_back: found -3", "patience_s", "fallback: found perhaps", "expected 0.000001 to 0.5"]
-    {
+    let wrong = Terms::read(|n| (n != "good_errors").then_some(-3.0), |_| "perhaps")
+        .expect_err("all wrong");
+    for name in [
+        "good_sent_back: found -3",
+        "patience_s",
+        "fallback: found perhaps",
+        "expected 0.000001 to 0.5",
+    ] {
         assert!(wrong.contains(name), "{name} in {wrong}");
     }
     let wrong = Terms::read(one("good_slower", 2.0), |_| "").expect_err("above bad");
-    assert!(wrong.contains("good_slower: expected less than bad_slower"), "{wrong}");
+    assert!(
+        wrong.contains("good_slower: expected less than bad_slower"),
+        "{wrong}"
+    );
     assert!((ERRORS + WORK + COMPLAINTS + PAST + PAUSES - 1.0).abs() < 1e-12);
     // A lone agent has it all; of forty agents of whom sixteen move a release on each has two fifths.
     assert_eq!(stated.back_rate(ALONE), 0.01);
-    let many = Voters { all: 40.0, back: 4.0, on: 16.0 };
-    assert!((stated.back_rate(many) - 0.001).abs() < 1e-12 && (stated.on_rate(many) - 0.04).abs() < 1e-12);
+    let many = Voters {
+        all: 40.0,
+        back: 4.0,
+        on: 16.0,
+    };
+    assert!(
+        (stated.back_rate(many) - 0.001).abs() < 1e-12
+            && (stated.on_rate(many) - 0.04).abs() < 1e-12
+    );
 }
--- a/crates/sequential-test/src/wealth.rs
+++ b/crates/sequential-test/src/wealth.rs
@@ -21,14 +21,21 @@
 impl Bets {
     /// Bets that the trial fails more than this share of what the earlier one would have served.
     pub fn fails(beyond: f64) -> Bets {
-        let point = |usual: f64, fails: f64| [usual, usual + fails.max(2.0 * beyond) * (1.0 - usual)];
-        let points = USUAL.iter().flat_map(|u| FAILS.iter().map(move |f| point(*u, *f))).collect();
+        let point =
+            |usual: f64, fails: f64| [usual, usual + fails.max(2.0 * beyond) * (1.0 - usual)];
+        let points = USUAL
+            .iter()
+            .flat_map(|u| FAILS.iter().map(move |f| point(*u, *f)))
+            .collect();
         Bets { points, beyond }
     }
 
     /// Bets that the trial fails no more than the earlier one, against at least this share more.
     pub fn holds(beyond: f64) -> Bets {
-        Bets { points: USUAL.iter().map(|u| [*u, *u]).collect(), beyond }
+        Bets {
+            points: USUAL.iter().map(|u| [*u, *u]).collect(),
+            beyond,
+        }
     }
 }
 
@@ -52,7 +59,10 @@
     /// A wealth for so many points.
     pub fn of(points: usize) -> Wealth {
         let all = points + 1;
-        Wealth { log: 0.0, weights: vec![1.0 / all as f64; all] }
+        Wealth {
+            log: 0.0,
+            weights: vec![1.0 / all as f64; all],
+        }
     }
 
     /// Takes in one block of a comparison.
@@ -76,6 +86,8 @@
         let sum: f64 = self.weights.iter().map(|w| (w - top).exp()).sum();
         self.log += top + sum.ln();
         let dealt = DEALT / self.weights.len() as f64;
-        self.weights.iter_mut().for_each(|w| *w = (1.0 - DEALT) * (*w - top).exp() / sum + dealt);
+        self.weights
+            .iter_mut()
+            .for_each(|w| *w = (1.0 - DEALT) * (*w - top).exp() / sum + dealt);
     }
 }
--- a/crates/sidecar/src/explain.rs
+++ b/crates/sidecar/src/explain.rs
@@ -13,11 +13,15 @@
         Setting::Flag(f) => serde_json::json!(f),
     };
     if json {
-        let all: serde_json::Map<_, _> = values.iter().map(|(n, s)| (n.clone(), plain(s))).collect();
+        let all: serde_json::Map<_, _> =
+            values.iter().map(|(n, s)| (n.clone(), plain(s))).collect();
         return format!("{}\n", serde_json::Value::Object(all));
     }
     let width = values.keys().map(String::len).max().unwrap_or(0);
-    values.iter().map(|(n, s)| format!("{n:width$}  {}\n", plain(s))).collect()
+    values
+        .iter()
+        .map(|(n, s)| format!("{n:width$}  {}\n", plain(s)))
+        .collect()
 }
 
 /// What an entry is about.
@@ -32,7 +36,11 @@
 /// The looks that decide, one for each time a build was tried: the first whose opinion is there, else the last.
 fn deciding(text: &str, build: Option<u32>) -> Result<Vec<Looked>, String> {
     let mut chosen: Vec<Looked> = Vec::new();
-    for (i, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
+    for (i, line) in text
+        .lines()
+        .enumerate()
+        .filter(|(_, l)| !l.trim().is_empty())
+    {
         let looked: Looked = match serde_json::from_str(line) {
             Ok(looked) => looked,
             // The last line may have been cut off when the program ended.
@@ -47,7 +55,8 @@
             // The same release: a look at an earlier stage is another one.
             Some(last) if last.build == looked.build && last.stage <= looked.stage => {
                 let passed = last.stage < looked.stage && !back(last);
-                if passed || last.look.opinion == Opinion::NotYet || (back(&looked) && !back(last)) {
+                if passed || last.look.opinion == Opinion::NotYet || (back(&looked) && !back(last))
+                {
                     *last = looked;
                 }
             }
@@ -81,7 +90,11 @@
         Opinion::On => "the evidence to go on is there",
         Opinion::NotYet => "not enough evidence either way",
     };
-    let _ = writeln!(out, "build {} stage {} ({}) at {:.1}: {said}", l.build, l.stage, l.phase, l.at);
+    let _ = writeln!(
+        out,
+        "build {} stage {} ({}) at {:.1}: {said}",
+        l.build, l.stage, l.phase, l.at
+    );
     if l.look.opinion == Opinion::NotYet {
         let more = l.look.remaining.filter(|s| s.is_finite());
         let _ = match more {
@@ -89,7 +102,9 @@
             None => writeln!(out, "  at the present rate never: neither side grows"),
         };
     }
-    let header = ["vote", "what", "evidence", "needed", "earlier", "trial", "without"];
+    let header = [
+        "vote", "what", "evidence", "needed", "earlier", "trial", "without",
+    ];
     let [vote, what, evidence, needed, earlier, trial, without] = header;
     let _ = writeln!(
         out,
@@ -98,9 +113,14 @@
     for e in &l.entries {
         let side = |(n, marked): (f64, f64)| format!("{marked:.0} of {n:.0}");
         let vote = if e.vote == Vote::Back { "back" } else { "on" };
-        let needed = if e.needed > 0.0 { format!("{:.1}", e.needed) } else { "rare".into() };
-        let without =
-            e.without.map_or(String::new(), |n| l.nodes.get(&n).cloned().unwrap_or(format!("node {n}")));
+        let needed = if e.needed > 0.0 {
+            format!("{:.1}", e.needed)
+        } else {
+            "rare".into()
+        };
+        let without = e.without.map_or(String::new(), |n| {
+            l.nodes.get(&n).cloned().unwrap_or(format!("node {n}"))
+        });
         let _ = writeln!(
             out,
             "  {vote:<5} {:<28} {:>9.1} {needed:>7} {:>14} {:>14} {without:>8}",
@@ -116,7 +136,11 @@
 /// What would have changed it.
 fn otherwise(l: &Looked) -> String {
     let part = |e: &&Entry| e.log / e.needed;
-    let of = |vote: Vote| l.entries.iter().filter(move |e| e.vote == vote && e.needed > 0.0);
+    let of = |vote: Vote| {
+        l.entries
+            .iter()
+            .filter(move |e| e.vote == vote && e.needed > 0.0)
+    };
     let strongest = of(Vote::Back).max_by(|a, b| part(a).total_cmp(&part(b)));
     let weakest = of(Vote::On).min_by(|a, b| part(a).total_cmp(&part(b)));
     match (l.look.opinion, strongest, weakest) {
@@ -130,7 +154,12 @@
             )
         }
         (Opinion::On, _, Some(e)) => {
-            format!("the last to agree was {} ({:.1} of {:.1})", name(l, e), e.log, e.needed)
+            format!(
+                "the last to agree was {} ({:.1} of {:.1})",
+                name(l, e),
+                e.log,
+                e.needed
+            )
         }
         (Opinion::NotYet, Some(back), Some(on)) => {
             format!(
@@ -149,12 +178,29 @@
 
     fn entry(vote: Vote, what: &str, log: f64, needed: f64) -> Entry {
         let (earlier, trial) = ((90.0, 1.0), (40.0, 9.0));
-        Entry { vote, what: what.into(), group: Some(2), log, needed, earlier, trial, without: Some(7) }
+        Entry {
+            vote,
+            what: what.into(),
+            group: Some(2),
+            log,
+            needed,
+            earlier,
+            trial,
+            without: Some(7),
+        }
     }
 
     fn looked(build: u32, stage: usize, opinion: Opinion) -> String {
-        let look = Look { opinion, back: 1.2, on: 0.1, remaining: None };
-        let entries = vec![entry(Vote::Back, "errors", 7.2, 6.0), entry(Vote::On, "work", 0.4, 3.0)];
+        let look = Look {
+            opinion,
+            back: 1.2,
+            on: 0.1,
+            remaining: None,
+        };
+        let entries = vec![
+            entry(Vote::Back, "errors", 7.2, 6.0),
+            entry(Vote::On, "work", 0.4, 3.0),
+        ];
         let (phase, vote) = ("Trial".into(), None);
         let looked = Looked {
             at: 9.0,
@@ -193,7 +239,10 @@
             assert!(told.contains(words), "{words} in:\n{told}");
         }
         let one = record(&text, Some(5), true).expect("JSON");
-        assert_eq!((one.lines().count(), one.contains("\"build\":5")), (1, true));
+        assert_eq!(
+            (one.lines().count(), one.contains("\"build\":5")),
+            (1, true)
+        );
     }
 
     #[test]
--- a/crates/sidecar/src/hands.rs
+++ b/crates/sidecar/src/hands.rs
@@ -20,24 +20,37 @@
 
 impl Talk {
     pub fn open(path: &Path) -> Result<Talk, String> {
-        let told = |e: std::io::Error| format!("{}: {e}; expected an agent's control socket", path.display());
+        let told = |e: std::io::Error| {
+            format!(
+                "{}: {e}; expected an agent's control socket",
+                path.display()
+            )
+        };
         let stream = UnixStream::connect(path).map_err(told)?;
         stream.set_read_timeout(Some(PATIENCE)).map_err(told)?;
-        Ok(Talk { stream: BufReader::new(stream) })
+        Ok(Talk {
+            stream: BufReader::new(stream),
+        })
     }
 
     /// What the agent answers; an error is its refusal.
     pub fn call(&mut self, call: &Call) -> Result<Json, String> {
         let line = serde_json::to_string(call).map_err(|e| e.to_string())?;
-        let sent = self.stream.get_mut().write_all(format!("{line}\n").as_bytes());
+        let sent = self
+            .stream
+            .get_mut()
+            .write_all(format!("{line}\n").as_bytes());
         sent.map_err(|e| format!("the agent does not listen: {e}"))?;
         let mut answer = String::new();
-        let came =
-            self.stream.read_line(&mut answer).map_err(|e| format!("the agent does not answer: {e}"))?;
+        let came = self
+            .stream
+            .read_line(&mut answer)
+            .map_err(|e| format!("the agent does not answer: {e}"))?;
         if came == 0 {
             return Err("the agent has hung up".into());
         }
-        let answer: Json = serde_json::from_str(&answer).map_err(|e| format!("expected an answer: {e}"))?;
+        let answer: Json =
+            serde_json::from_str(&answer).map_err(|e| format!("expected an answer: {e}"))?;
         match answer.get("refused").and_then(Json::as_str) {
             Some(refused) => Err(refused.to_owned()),
             None => Ok(answer.get("ok").cloned().unwrap_or_default()),
@@ -67,21 +80,40 @@
         running["who"].as_str().unwrap_or("?"),
         running["why"].as_str().unwrap_or("?"),
     );
-    let _ =
-        writeln!(text, "version {} is kept; journal: {}", s["kept"], s["journal"].as_str().unwrap_or("?"));
+    let _ = writeln!(
+        text,
+        "version {} is kept; journal: {}",
+        s["kept"],
+        s["journal"].as_str().unwrap_or("?")
+    );
     let watch = &s["watch"];
     if !watch.is_null() {
-        let doubt = if watch["doubt"].as_bool() == Some(true) { "in doubt" } else { "no doubt" };
+        let doubt = if watch["doubt"].as_bool() == Some(true) {
+            "in doubt"
+        } else {
+            "no doubt"
+        };
         let evidence = watch["evidence"].as_f64().unwrap_or(0.0);
-        let _ = writeln!(text, "watched: {doubt}, evidence of harm {evidence:.2} of what is stated");
+        let _ = writeln!(
+            text,
+            "watched: {doubt}, evidence of harm {evidence:.2} of what is stated"
+        );
         for (name, side) in [("before", &watch["old"]), ("now", &watch["new"])] {
             let figure = |i: usize| side[i].as_f64().unwrap_or(0.0);
-            let _ =
-                writeln!(text, "  {name:<7} {:.0} of {:.0} hits compared were spoilt", figure(1), figure(0));
+            let _ = writeln!(
+                text,
+                "  {name:<7} {:.0} of {:.0} hits compared were spoilt",
+                figure(1),
+                figure(0)
+            );
         }
     }
     for pinned in s["pinned"].as_array().into_iter().flatten() {
-        let _ = writeln!(text, "version {}: {} hits under way", pinned["number"], pinned["hits"]);
+        let _ = writeln!(
+            text,
+            "version {}: {} hits under way",
+            pinned["number"], pinned["hits"]
+        );
     }
     text
 }
@@ -96,8 +128,12 @@
         'h' => 3600.0,
         _ => return Err(wrong()),
     };
-    let number: f64 = text[..text.len() - unit.len_utf8()].parse().map_err(|_| wrong())?;
-    Some(number * each).filter(|s| s.is_finite() && *s > 0.0).ok_or_else(wrong)
+    let number: f64 = text[..text.len() - unit.len_utf8()]
+        .parse()
+        .map_err(|_| wrong())?;
+    Some(number * each)
+        .filter(|s| s.is_finite() && *s > 0.0)
+        .ok_or_else(wrong)
 }
 
 /// How an agent's levels stand, for people.
@@ -113,7 +149,10 @@
         let _ = writeln!(text, "held by hand for another {left:.0} s");
     }
     if s["starting"].as_bool() == Some(true) {
-        let _ = writeln!(text, "just started: the mildest level's rules hold until enough is known");
+        let _ = writeln!(
+            text,
+            "just started: the mildest level's rules hold until enough is known"
+        );
     }
     let _ = writeln!(
         text,
@@ -123,7 +162,10 @@
         100.0 * number("shortage")
     );
     for share in s["shares"].as_array().into_iter().flatten() {
-        let (name, part) = (share[0].as_str().unwrap_or("?"), share[1].as_f64().unwrap_or(0.0));
+        let (name, part) = (
+            share[0].as_str().unwrap_or("?"),
+            share[1].as_f64().unwrap_or(0.0),
+        );
         let _ = writeln!(text, "  {name:<24} {:>4.0}% let in", 100.0 * part);
     }
     text
@@ -135,15 +177,23 @@
     for change in all.as_array().into_iter().flatten() {
         let word = |name: &str| change[name].as_str().unwrap_or("?");
         let at = change["at"].as_f64().unwrap_or(0.0);
-        let _ = writeln!(text, "{at:>14.1} {:<16} {:<16} {}", word("from"), word("to"), word("because"));
+        let _ = writeln!(
+            text,
+            "{at:>14.1} {:<16} {:<16} {}",
+            word("from"),
+            word("to"),
+            word("because")
+        );
     }
     text
 }
 
 /// All versions that an agent remembers.
 pub fn history(all: &Json) -> String {
-    let mut text =
-        format!("{:>7} {:<11} {:>5} {:<12} {:<13} why\n", "version", "standing", "base", "who", "hash");
+    let mut text = format!(
+        "{:>7} {:<11} {:>5} {:<12} {:<13} why\n",
+        "version", "standing", "base", "who", "hash"
+    );
     for v in all.as_array().into_iter().flatten() {
         let word = |name: &str| v[name].as_str().unwrap_or("?").to_owned();
         let hash: String = word("hash").chars().take(12).collect();
@@ -165,13 +215,24 @@
     before: &magpieline_operator_config::Values,
     after: &magpieline_operator_config::Values,
 ) -> String {
-    let (old, new) = (crate::explain::values(before, false), crate::explain::values(after, false));
+    let (old, new) = (
+        crate::explain::values(before, false),
+        crate::explain::values(after, false),
+    );
     let plain = |text: &str| -> Vec<String> {
-        text.lines().map(|l| l.split_whitespace().collect::<Vec<_>>().join(" ")).collect()
+        text.lines()
+            .map(|l| l.split_whitespace().collect::<Vec<_>>().join(" "))
+            .collect()
     };
     let (old, new) = (plain(&old), plain(&new));
-    let gone = old.iter().filter(|l| !new.contains(l)).map(|l| format!("- {l}\n"));
-    let come = new.iter().filter(|l| !old.contains(l)).map(|l| format!("+ {l}\n"));
+    let gone = old
+        .iter()
+        .filter(|l| !new.contains(l))
+        .map(|l| format!("- {l}\n"));
+    let come = new
+        .iter()
+        .filter(|l| !old.contains(l))
+        .map(|l| format!("+ {l}\n"));
     gone.chain(come).collect()
 }
 
@@ -181,7 +242,10 @@
 
     #[test]
     fn times_are_read_as_people_write_them() {
-        assert_eq!([seconds("90s"), seconds("10m"), seconds("1.5h")], [Ok(90.0), Ok(600.0), Ok(5400.0)]);
+        assert_eq!(
+            [seconds("90s"), seconds("10m"), seconds("1.5h")],
+            [Ok(90.0), Ok(600.0), Ok(5400.0)]
+        );
         for odd in ["", "10", "m", "-5s", "infs", "10 minutes", "5\u{e9}"] {
             assert!(seconds(odd).is_err(), "{odd}");
         }
--- a/crates/sidecar/src/life/control.rs
+++ b/crates/sidecar/src/life/control.rs
@@ -91,11 +91,22 @@
         seed: u64,
     ) -> Hands {
         let (keeping, unsure) = Default::default();
-        Hands { exchange, keeper, file, seed, unkept, turn: Mutex::new(()), keeping, unsure }
+        Hands {
+            exchange,
+            keeper,
+            file,
+            seed,
+            unkept,
+            turn: Mutex::new(()),
+            keeping,
+            unsure,
+        }
     }
 
     async fn write(&self, step: &Step) -> Result<(), String> {
-        let Some(keeper) = &self.keeper else { return Ok(()) };
+        let Some(keeper) = &self.keeper else {
+            return Ok(());
+        };
         if self.unsure.get() {
             // As things stand, whatever of earlier steps has come through.
             if let Some(snapshot) = self.exchange.changes(|c| c.versions.snapshot()) {
@@ -112,9 +123,10 @@
     async fn carry_out(&self, step: Step) -> Result<(), String> {
         self.write(&step).await?;
         self.adopt(&step)?;
-        if let (Some(keeper), Some(snapshot)) =
-            (&self.keeper, self.exchange.changes(|c| c.versions.snapshot()))
-        {
+        if let (Some(keeper), Some(snapshot)) = (
+            &self.keeper,
+            self.exchange.changes(|c| c.versions.snapshot()),
+        ) {
             if let Err(e) = keeper.compact(vec![snapshot]).await {
                 log::warn!("{e}"); // what was written stands; it is only long
             }
@@ -124,7 +136,9 @@
 
     /// A step holds from here on; what concerns all hits alike is handed to those whom it concerns.
     fn adopt(&self, step: &Step) -> Result<(), String> {
-        let Some(values) = self.exchange.adopt(step)? else { return Ok(()) };
+        let Some(values) = self.exchange.adopt(step)? else {
+            return Ok(());
+        };
         log_form::choose(&values);
         // What was tried before the step and fails now is told; service goes on without.
         let looks = start::looks(&values).unwrap_or_else(|e| {
@@ -132,7 +146,11 @@
             None
         });
         let chosen = start::chosen(&values);
-        self.exchange.choose(start::terms(&chosen).unwrap_or_default(), looks, chosen.clients);
+        self.exchange.choose(
+            start::terms(&chosen).unwrap_or_default(),
+            looks,
+            chosen.clients,
+        );
         if let Err(e) = self.exchange.set_levels(&values, self.seed, None) {
             log::warn!("{e}"); // it was good when it was staged
         }
@@ -142,11 +160,16 @@
     /// Whether what a version says can be done here.
     fn can_be(&self, values: &Values) -> Result<(), String> {
         self.exchange.fits_here(values)?;
-        can_be(values, &self.exchange.changes(Changes::values).unwrap_or_default())
+        can_be(
+            values,
+            &self.exchange.changes(Changes::values).unwrap_or_default(),
+        )
     }
 
     fn allowed<T>(&self, ask: impl FnOnce(&Versions) -> Result<T, Refusal>) -> Result<T, String> {
-        let answer = self.exchange.changes(|c| ask(&c.versions).map_err(|refusal| refusal.to_string()));
+        let answer = self
+            .exchange
+            .changes(|c| ask(&c.versions).map_err(|refusal| refusal.to_string()));
         answer.unwrap_or_else(|| Err("changes are not enabled: no operators' file is named".into()))
     }
 
@@ -156,7 +179,10 @@
         match self.allowed(|v| v.stage(text, who, why, unix()))? {
             Err(number) => Ok((number, false)),
             Ok(step) => {
-                let Step::Staged { version: Version { number, .. } } = &step else {
+                let Step::Staged {
+                    version: Version { number, .. },
+                } = &step
+                else {
                     return Err("no version".into());
                 };
                 let number = *number;
@@ -173,8 +199,11 @@
         let _turn = self.turn.lock().await;
         let step = self.allowed(|v| v.apply(number, who, unix()))?;
         // All that may fail is tried before any hit can see it.
-        let values =
-            self.exchange.changes(|c| c.versions.values(number).cloned()).flatten().unwrap_or_default();
+        let values = self
+            .exchange
+            .changes(|c| c.versions.values(number).cloned())
+            .flatten()
+            .unwrap_or_default();
         self.can_be(&values)?;
         start::looks(&values)?;
         self.carry_out(step).await?;
@@ -185,7 +214,9 @@
     pub async fn keep(&self, who: &str, why: &str) -> Result<u64, String> {
         let _turn = self.turn.lock().await;
         let step = self.allowed(|v| v.keep(why, unix()))?;
-        let Step::Kept { number, .. } = step else { return Err("nothing to keep".into()) };
+        let Step::Kept { number, .. } = step else {
+            return Err("nothing to keep".into());
+        };
         self.keeping.set(true);
         let kept = self.carry_out(step).await;
         self.keeping.set(false);
@@ -196,10 +227,16 @@
 
     /// Undoes what is being watched. This needs no disk: a restart would come to the same.
     pub async fn undo(&self, who: &str, why: &str) -> Result<u64, String> {
-        let turn = if self.keeping.get() { Some(self.turn.lock().await) } else { None };
+        let turn = if self.keeping.get() {
+            Some(self.turn.lock().await)
+        } else {
+            None
+        };
         let (step, number) = {
             let step = self.allowed(|v| v.undo(who, why, unix()))?;
-            let Step::Undone { number, .. } = step else { return Err("nothing to undo".into()) };
+            let Step::Undone { number, .. } = step else {
+                return Err("nothing to undo".into());
+            };
             self.adopt(&step)?;
             (step, number)
         };
@@ -217,7 +254,9 @@
 
     /// Takes the operators' file as it stands now, if it is another one.
     pub async fn take_file(&self, who: &str) -> Result<(), String> {
-        let Some(file) = &self.file else { return Ok(()) };
+        let Some(file) = &self.file else {
+            return Ok(());
+        };
         let told = |e: io::Error| format!("{}: could not be read: {e}", file.display());
         let text = std::fs::read_to_string(file).map_err(told)?;
         let (number, _) = self.stage(&text, who, "the file was read anew").await?;
@@ -236,7 +275,9 @@
                 Next::Keep => self.keep("watch", "no harm was seen").await.map(drop),
                 Next::Undo { group } => {
                     let of = group.map_or("all hits".into(), |g| self.exchange.group_name(g));
-                    self.undo("watch", &format!("it spoils {of}")).await.map(drop)
+                    self.undo("watch", &format!("it spoils {of}"))
+                        .await
+                        .map(drop)
                 }
             };
             if let Err(e) = result {
@@ -266,7 +307,11 @@
             json!({"running": running, "kept": v.kept(), "watch": watch, "pinned": pinned})
         });
         let mut told = told.unwrap_or_else(|| json!({}));
-        told["level"] = self.exchange.levels().map(|(stands, _)| json!(stands)).unwrap_or_default();
+        told["level"] = self
+            .exchange
+            .levels()
+            .map(|(stands, _)| json!(stands))
+            .unwrap_or_default();
         told["journal"] = match &self.unkept {
             None => "kept on disk".into(),
             Some(why) => format!("in memory only: {why}").into(),
@@ -279,7 +324,9 @@
             json!({"number": v.number, "standing": standing, "who": v.who, "why": v.why, "staged_at": v.at,
                 "base": v.base, "hash": v.hash, "hits": hits})
         };
-        self.exchange.changes(|c| c.versions.all().map(line).collect::<Vec<Json>>()).into()
+        self.exchange
+            .changes(|c| c.versions.all().map(line).collect::<Vec<Json>>())
+            .into()
     }
 
     async fn answer(&self, call: Call, who: &str) -> Result<Json, String> {
@@ -288,14 +335,25 @@
                 let (number, new) = self.stage(&text, who, &why).await?;
                 Ok(json!({"number": number, "new": new}))
             }
-            Call::Apply { number } => self.apply(number, who).await.map(|()| json!({"number": number})),
-            Call::Keep { why } => self.keep(who, &why).await.map(|number| json!({"number": number})),
-            Call::Undo { why } => self.undo(who, &why).await.map(|number| json!({"number": number})),
+            Call::Apply { number } => self
+                .apply(number, who)
+                .await
+                .map(|()| json!({"number": number})),
+            Call::Keep { why } => self
+                .keep(who, &why)
+                .await
+                .map(|number| json!({"number": number})),
+            Call::Undo { why } => self
+                .undo(who, &why)
+                .await
+                .map(|number| json!({"number": number})),
             Call::Status => Ok(self.status()),
             Call::History => Ok(self.history()),
             Call::Levels => {
-                let (stands, changes) =
-                    self.exchange.levels().ok_or("levels: the operators' file names none")?;
+                let (stands, changes) = self
+                    .exchange
+                    .levels()
+                    .ok_or("levels: the operators' file names none")?;
                 Ok(json!({"stands": stands, "changes": changes}))
             }
             Call::HoldLevel { level, seconds } => {
@@ -305,10 +363,14 @@
             Call::ReleaseLevel => self.exchange.release_level(who).map(|()| json!({})),
             Call::Text { number } => {
                 let text = self.exchange.changes(|c| {
-                    c.versions.all().find(|(v, ..)| v.number == number).map(|(v, ..)| v.text.clone())
+                    c.versions
+                        .all()
+                        .find(|(v, ..)| v.number == number)
+                        .map(|(v, ..)| v.text.clone())
                 });
-                let text =
-                    text.flatten().ok_or_else(|| format!("version {number}: expected one remembered"))?;
+                let text = text
+                    .flatten()
+                    .ok_or_else(|| format!("version {number}: expected one remembered"))?;
                 Ok(json!({"number": number, "text": text}))
             }
         }
@@ -319,7 +381,9 @@
         let peer = stream.peer_cred()?.uid();
         let (read, mut write) = stream.into_split();
         if peer != own && peer != 0 {
-            return write.write_all(b"{\"refused\":\"only for the agent's own user\"}\n").await;
+            return write
+                .write_all(b"{\"refused\":\"only for the agent's own user\"}\n")
+                .await;
         }
         let who = format!("uid {peer}");
         let mut read = BufReader::new(read);
@@ -368,7 +432,9 @@
     let own = std::fs::metadata("/proc/self").map_or(u32::MAX, |m| m.uid());
     let room = Arc::new(Semaphore::new(AT_ONCE));
     loop {
-        let Ok(place) = room.clone().acquire_owned().await else { std::future::pending().await };
+        let Ok(place) = room.clone().acquire_owned().await else {
+            std::future::pending().await
+        };
         match listener.accept().await {
             Ok((stream, _)) => {
                 let hands = hands.clone();
@@ -405,7 +471,8 @@
 
 /// From the journal, else begun with the file.
 pub fn begin(text: &str, journal: Option<&Path>) -> Result<Begun, String> {
-    let (mut keeper, mut steps, mut unkept) = (None, Vec::new(), Some("no journal is named".to_string()));
+    let (mut keeper, mut steps, mut unkept) =
+        (None, Vec::new(), Some("no journal is named".to_string()));
     if let Some(path) = journal {
         match Keeper::open(path) {
             Ok((opened, found, damage)) => {
@@ -428,8 +495,9 @@
     let hash = hash(text);
     if versions.kept() == 0 {
         // Nothing was ever kept: the file is the first version, kept since the start stands on it.
-        let staged =
-            versions.stage(text, "start", "the file at the start", unix()).map_err(|r| r.to_string())?;
+        let staged = versions
+            .stage(text, "start", "the file at the start", unix())
+            .map_err(|r| r.to_string())?;
         let mut take = |step: Step, versions: &mut Versions| {
             let done = versions.done(&step).map_err(|r| r.to_string());
             fresh.push(step);
@@ -442,19 +510,37 @@
             }
             Err(number) => number,
         };
-        let step = versions.apply(number, "start", unix()).map_err(|r| r.to_string())?;
+        let step = versions
+            .apply(number, "start", unix())
+            .map_err(|r| r.to_string())?;
         take(step, &mut versions)?;
-        let step = versions.keep("the start stands on it", unix()).map_err(|r| r.to_string())?;
+        let step = versions
+            .keep("the start stands on it", unix())
+            .map_err(|r| r.to_string())?;
         take(step, &mut versions)?;
-    } else if !versions.all().any(|(v, ..)| v.number == versions.kept() && v.hash == hash) {
-        log::warn!("config: the file differs from version {}, which was kept and runs", versions.kept());
+    } else if !versions
+        .all()
+        .any(|(v, ..)| v.number == versions.kept() && v.hash == hash)
+    {
+        log::warn!(
+            "config: the file differs from version {}, which was kept and runs",
+            versions.kept()
+        );
     }
-    Ok(Begun { versions, keeper, unkept, fresh })
+    Ok(Begun {
+        versions,
+        keeper,
+        unkept,
+        fresh,
+    })
 }
 
 /// The values that a start goes by.
 pub fn running(versions: &Versions) -> Values {
-    versions.values(versions.running()).cloned().unwrap_or_default()
+    versions
+        .values(versions.running())
+        .cloned()
+        .unwrap_or_default()
 }
 
 /// Tells a start's steps to the journal.
@@ -470,12 +556,17 @@
 /// Whether what the new values say can be done at all; names what takes a restart.
 pub fn can_be(values: &Values, runs: &Values) -> Result<(), String> {
     let of = |v: &Values, what: &str| -> Vec<(String, Setting)> {
-        v.iter().filter(|(n, _)| n.starts_with(what)).map(|(n, s)| (n.clone(), s.clone())).collect()
+        v.iter()
+            .filter(|(n, _)| n.starts_with(what))
+            .map(|(n, s)| (n.clone(), s.clone()))
+            .collect()
     };
     for what in ["control.", "resp.", "extproc.", "levels.journal"] {
         if of(values, what) != of(runs, what) {
             let what = what.trim_end_matches('.');
-            return Err(format!("{what}: expected as it runs, a change of it takes a restart"));
+            return Err(format!(
+                "{what}: expected as it runs, a change of it takes a restart"
+            ));
         }
     }
     start::terms(&start::chosen(values)).map(drop)
@@ -514,14 +605,15 @@
                     async move {
                         loop {
                             let text = message(&mut stream).await;
-                            let id = text
-                                .lines()
-                                .find_map(|l| l.to_lowercase().strip_prefix("x-txn: ").map(str::to_owned));
+                            let id = text.lines().find_map(|l| {
+                                l.to_lowercase().strip_prefix("x-txn: ").map(str::to_owned)
+                            });
                             let Some(id) = id else { return };
                             *count.borrow_mut().entry(id.clone()).or_default() += 1;
                             let pause = if id.starts_with('s') { 400 } else { 2 };
                             tokio::time::sleep(Duration::from_millis(pause)).await;
-                            write(&mut stream, if id.starts_with('f') { ERRS } else { SERVES }).await;
+                            write(&mut stream, if id.starts_with('f') { ERRS } else { SERVES })
+                                .await;
                         }
                     }
                 })
@@ -532,18 +624,45 @@
     }
 
     fn hands_on(exchange: &Rc<Exchange>) -> Rc<Hands> {
-        exchange.hold(Versions::new(Schema::own()), 1).expect("nothing is chosen yet");
-        Rc::new(Hands::new(exchange.clone(), None, None, Some("a test".into()), 1))
+        exchange
+            .hold(Versions::new(Schema::own()), 1)
+            .expect("nothing is chosen yet");
+        Rc::new(Hands::new(
+            exchange.clone(),
+            None,
+            None,
+            Some("a test".into()),
+            1,
+        ))
     }
 
     fn hit(exchange: &Rc<Exchange>, id: &str) -> Ticket {
         let mut headers = awc::http::header::HeaderMap::new();
         let name = awc::http::header::HeaderName::from_static(crate::wire::headers::TXN);
-        headers.insert(name, awc::http::header::HeaderValue::from_str(id).expect("a value"));
+        headers.insert(
+            name,
+            awc::http::header::HeaderValue::from_str(id).expect("a value"),
+        );
         let target = http::uri::PathAndQuery::from_static("/read");
-        let head = Head { method: http::Method::GET, target, headers };
-        let load = Load { id: hash(id.as_bytes()), head: Box::new(head), body: bytes::Bytes::new() };
-        exchange.take(Arrival { remaining: 1.9, ..Arrival::default() }, load).expect("a hit")
+        let head = Head {
+            method: http::Method::GET,
+            target,
+            headers,
+        };
+        let load = Load {
+            id: hash(id.as_bytes()),
+            head: Box::new(head),
+            body: bytes::Bytes::new(),
+        };
+        exchange
+            .take(
+                Arrival {
+                    remaining: 1.9,
+                    ..Arrival::default()
+                },
+                load,
+            )
+            .expect("a hit")
     }
 
     async fn apply(hands: &Hands, text: &str) -> u64 {
@@ -576,10 +695,14 @@
                 let id = format!("{}{i}", ['f', 'a', 's'][i as usize % 3]);
                 let mut ticket = hit(&exchange, &id);
                 let version = exchange.version_of(&ticket).expect("pinned");
-                let most = exchange.changes(|c| c.versions.values(version).cloned()).flatten();
+                let most = exchange
+                    .changes(|c| c.versions.values(version).cloned())
+                    .flatten();
                 let most = most.and_then(|v| v.get("hits.group.0.most_forwards").cloned());
                 bound.insert(id, most);
-                tasks.push(actix_rt::spawn(async move { (ticket.answer().await, ticket) }));
+                tasks.push(actix_rt::spawn(
+                    async move { (ticket.answer().await, ticket) },
+                ));
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
             let (mut answers, mut repeated) = (0, 0);
@@ -592,12 +715,18 @@
             }
             for (id, count) in forwards.borrow().iter() {
                 if bound[id] == Some(Setting::Number(1.0)) {
-                    assert_eq!(*count, 1, "{id} was taken under a version that allows one forward");
+                    assert_eq!(
+                        *count, 1,
+                        "{id} was taken under a version that allows one forward"
+                    );
                 }
                 repeated += usize::from(*count > 1);
             }
             assert_eq!(answers, 600);
-            assert!(repeated > 5, "some hits under other versions were sent again: {repeated}");
+            assert!(
+                repeated > 5,
+                "some hits under other versions were sent again: {repeated}"
+            );
             // Old versions end with their last hit.
             tokio::time::sleep(Duration::from_millis(50)).await;
             let pinned = exchange.changes(|c| c.versions.all().map(|(.., hits)| hits).sum::<u64>());
@@ -620,10 +749,19 @@
                      </levels></magpieline>"
                 )
             };
-            let told = hands.stage(&levels("odd"), "ada", "a test").await.expect_err("refused");
-            assert!(told.contains("late: found 'odd', expected one of read, pay, book"), "{told}");
+            let told = hands
+                .stage(&levels("odd"), "ada", "a test")
+                .await
+                .expect_err("refused");
+            assert!(
+                told.contains("late: found 'odd', expected one of read, pay, book"),
+                "{told}"
+            );
             apply(&hands, &levels("read")).await;
-            let hold = Call::HoldLevel { level: "busy".into(), seconds: 60.0 };
+            let hold = Call::HoldLevel {
+                level: "busy".into(),
+                seconds: 60.0,
+            };
             hands.answer(hold, "ada").await.expect("held");
             let told = hands.answer(Call::Levels, "ada").await.expect("levels");
             assert_eq!(
@@ -632,13 +770,18 @@
             );
             let text = crate::hands::level(&told["stands"]);
             assert!(
-                text.starts_with("level busy, for 0 s: held by ada for 60 s\nheld by hand for another"),
+                text.starts_with(
+                    "level busy, for 0 s: held by ada for 60 s\nheld by hand for another"
+                ),
                 "{text}"
             );
             assert!(crate::hands::levels(&told["changes"])
                 .contains("full             busy             held by ada"));
             assert_eq!(hands.status()["level"]["level"], "busy");
-            hands.answer(Call::ReleaseLevel, "ada").await.expect("released");
+            hands
+                .answer(Call::ReleaseLevel, "ada")
+                .await
+                .expect("released");
             assert!(hands.answer(Call::ReleaseLevel, "ada").await.is_err());
             // The change is undone: no level is left.
             hands.undo("ada", "a test").await.expect("undone");
@@ -687,17 +830,32 @@
                 async move { hands.stage(text, "ada", "").await.expect_err("refused") }
             };
             let odd = refused("<magpieline><hits><group name='odd'/></hits></magpieline>").await;
-            assert_eq!(odd, "hits/group: found 'odd', expected one of read, pay, book");
+            assert_eq!(
+                odd,
+                "hits/group: found 'odd', expected one of read, pay, book"
+            );
             let control = refused("<magpieline><control socket='/x'/></magpieline>").await;
-            assert!(control.contains("a change of it takes a restart"), "{control}");
+            assert!(
+                control.contains("a change of it takes a restart"),
+                "{control}"
+            );
             let wrong = refused("<magpieline>\n<verdict good-sent-back='7'/></magpieline>").await;
-            assert!(wrong.starts_with("line 2: magpieline/verdict: good-sent-back"), "{wrong}");
+            assert!(
+                wrong.starts_with("line 2: magpieline/verdict: good-sent-back"),
+                "{wrong}"
+            );
             // A record that can't be opened: staged, but not applied, and nothing has changed.
             let nowhere = "<magpieline><verdict record='/proc/nowhere/looks'/></magpieline>";
             let (number, _) = hands.stage(nowhere, "ada", "").await.expect("a good file");
-            assert!(hands.apply(number, "ada").await.is_err_and(|e| e.contains("/proc/nowhere/looks")));
+            assert!(hands
+                .apply(number, "ada")
+                .await
+                .is_err_and(|e| e.contains("/proc/nowhere/looks")));
             assert_eq!(exchange.changes(|c| c.versions.running()), Some(0));
-            assert!(hands.undo("ada", "").await.is_err_and(|e| e.contains("nothing is being watched")));
+            assert!(hands
+                .undo("ada", "")
+                .await
+                .is_err_and(|e| e.contains("nothing is being watched")));
         });
     }
 
@@ -709,13 +867,24 @@
             let exchange = exchange_of(&[nobody().await]);
             let hands = hands_on(&exchange);
             let listener = listen(&path).expect("a socket");
-            assert_eq!(std::fs::metadata(&path).expect("a file").permissions().mode() & 0o777, 0o600);
+            assert_eq!(
+                std::fs::metadata(&path)
+                    .expect("a file")
+                    .permissions()
+                    .mode()
+                    & 0o777,
+                0o600
+            );
             assert!(listen(&path).is_err_and(|e| e.contains("another program listens there")));
             actix_rt::spawn(serve(hands, listener));
             let operator = move || {
                 let mut talk = Talk::open(&path).expect("a talk");
-                let staged =
-                    talk.call(&Call::Stage { text: file(2, 1.0), why: "a test".into() }).expect("staged");
+                let staged = talk
+                    .call(&Call::Stage {
+                        text: file(2, 1.0),
+                        why: "a test".into(),
+                    })
+                    .expect("staged");
                 assert_eq!(staged, json!({"number": 1, "new": true}));
                 talk.call(&Call::Apply { number: 1 }).expect("applied");
                 assert_eq!(
@@ -725,13 +894,20 @@
                 let status = talk.call(&Call::Status).expect("a status");
                 let words = crate::hands::status(&status);
                 assert!(
-                    words.contains("version 1 runs (watched)") && words.contains("in memory only: a test"),
+                    words.contains("version 1 runs (watched)")
+                        && words.contains("in memory only: a test"),
                     "{words}"
                 );
-                talk.call(&Call::Undo { why: "enough".into() }).expect("undone");
+                talk.call(&Call::Undo {
+                    why: "enough".into(),
+                })
+                .expect("undone");
                 assert_eq!(talk.wait(1), Ok(false));
                 let history = crate::hands::history(&talk.call(&Call::History).expect("a history"));
-                assert!(history.lines().any(|l| l.trim().starts_with("1 undone")), "{history}");
+                assert!(
+                    history.lines().any(|l| l.trim().starts_with("1 undone")),
+                    "{history}"
+                );
                 let text = talk.call(&Call::Text { number: 1 }).expect("a text");
                 assert_eq!(text["text"], json!(file(2, 1.0)));
             };
@@ -747,9 +923,14 @@
             let text = "<magpieline><hits><group name='odd'/></hits></magpieline>";
             let begun = begin(text, None).expect("a good file by the schema");
             let told = exchange.hold(begun.versions, 1).expect_err("refused");
-            assert_eq!(told, "hits/group: found 'odd', expected one of read, pay, book");
+            assert_eq!(
+                told,
+                "hits/group: found 'odd', expected one of read, pay, book"
+            );
             let bound = begin(&file(1, 1.0), None).expect("begun");
-            exchange.hold(bound.versions, 1).expect("held without a socket or a journal");
+            exchange
+                .hold(bound.versions, 1)
+                .expect("held without a socket or a journal");
             let ticket = hit(&exchange, "a1");
             assert_eq!(exchange.version_of(&ticket), Some(1));
         });
@@ -771,11 +952,18 @@
         // Another file now: what was kept runs, until the file is applied like any change.
         let again = begin(&file(2, 1.0), Some(&path)).expect("begun");
         assert_eq!((again.versions.running(), again.fresh.len()), (1, 0));
-        assert_eq!(running(&again.versions)["hits.group.0.most_forwards"], Setting::Number(1.0));
+        assert_eq!(
+            running(&again.versions)["hits.group.0.most_forwards"],
+            Setting::Number(1.0)
+        );
         // No disk: versions live in memory, and the status says why.
-        let without = begin(&file(2, 1.0), Some(Path::new("/proc/nowhere/journal"))).expect("begun");
+        let without =
+            begin(&file(2, 1.0), Some(Path::new("/proc/nowhere/journal"))).expect("begun");
         assert!(
-            without.keeper.is_none() && without.unkept.is_some_and(|w| w.contains("/proc/nowhere/journal"))
+            without.keeper.is_none()
+                && without
+                    .unkept
+                    .is_some_and(|w| w.contains("/proc/nowhere/journal"))
         );
     }
 
@@ -787,12 +975,18 @@
             let path = folder("middle").join("changes.journal");
             let forwards = Rc::new(RefCell::new(HashMap::new()));
             let exchange = exchange_of(&nodes(&forwards).await);
-            let Begun { versions, keeper, fresh, .. } = begin(&file(1, 1.8), Some(&path)).expect("begun");
+            let Begun {
+                versions,
+                keeper,
+                fresh,
+                ..
+            } = begin(&file(1, 1.8), Some(&path)).expect("begun");
             exchange.hold(versions, 1).expect("held");
             let hands = Rc::new(Hands::new(exchange.clone(), keeper, None, None, 1));
             write_start(&hands, &fresh).await;
             actix_rt::spawn(hands.clone().watch());
-            let mut tickets: Vec<Ticket> = (0..20).map(|i| hit(&exchange, &format!("s{i}"))).collect();
+            let mut tickets: Vec<Ticket> =
+                (0..20).map(|i| hit(&exchange, &format!("s{i}"))).collect();
             let number = apply(&hands, &file(1, 1.9)).await;
             tickets.extend((20..40).map(|i| hit(&exchange, &format!("s{i}"))));
             let mut settings: serde_json::Value = serde_json::from_str(SETTINGS).expect("settings");
@@ -801,10 +995,20 @@
             tickets.extend((40..60).map(|i| hit(&exchange, &format!("s{i}"))));
             assert_eq!(exchange.changes(|c| c.versions.running()), Some(number));
             // The end waits for what is in hand, whichever version that goes by; a change may still be asked for.
-            let end = actix_rt::spawn(crate::life::stop::finish(exchange.clone(), Rc::new(Crowd::new(1))));
+            let end = actix_rt::spawn(crate::life::stop::finish(
+                exchange.clone(),
+                Rc::new(Crowd::new(1)),
+            ));
             tokio::time::sleep(Duration::from_millis(100)).await;
-            let late = hands.stage(&file(3, 1.9), "ada", "at the end").await.expect("staged").0;
-            assert!(hands.apply(late, "ada").await.is_err(), "one change is being watched");
+            let late = hands
+                .stage(&file(3, 1.9), "ada", "at the end")
+                .await
+                .expect("staged")
+                .0;
+            assert!(
+                hands.apply(late, "ada").await.is_err(),
+                "one change is being watched"
+            );
             for ticket in &mut tickets {
                 assert!(matches!(ticket.answer().await, Answer::Delivered { .. }));
             }
@@ -823,7 +1027,10 @@
     #[test]
     #[ignore = "takes minutes"]
     fn changes_in_a_row() {
-        let many = std::env::var("MAGPIELINE_CHANGES").ok().and_then(|n| n.parse().ok()).unwrap_or(200u32);
+        let many = std::env::var("MAGPIELINE_CHANGES")
+            .ok()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(200u32);
         run_within(4 * 3600, async move {
             let forwards = Rc::new(RefCell::new(HashMap::new()));
             let exchange = exchange_of(&nodes(&forwards).await);
@@ -831,14 +1038,18 @@
             actix_rt::spawn(hands.clone().watch());
             let text = |most: u32, longest: f64| {
                 let watch = "<watch least-s='0.5' longest-s='30'/>";
-                let group =
-                    format!("<group name='read' most-forwards='{most}' longest-forward-s='{longest}'/>");
+                let group = format!(
+                    "<group name='read' most-forwards='{most}' longest-forward-s='{longest}'/>"
+                );
                 format!("<magpieline><hits>{group}</hits>{watch}</magpieline>")
             };
             apply(&hands, &text(100, 1.9)).await;
             hands.keep("ada", "the first").await.expect("kept");
-            let (owed, answered, spoilt) =
-                (Rc::new(Cell::new(0u64)), Rc::new(Cell::new(0u64)), Rc::new(Cell::new(0.0)));
+            let (owed, answered, spoilt) = (
+                Rc::new(Cell::new(0u64)),
+                Rc::new(Cell::new(0u64)),
+                Rc::new(Cell::new(0.0)),
+            );
             let (over, slow) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(false)));
             let bounds = Rc::new(RefCell::new(HashMap::new()));
             {
@@ -857,8 +1068,11 @@
                         let id = format!("{kind}{i}");
                         let mut ticket = hit(&exchange, &id);
                         let version = exchange.version_of(&ticket).unwrap_or_default();
-                        let values = exchange.changes(|c| c.versions.values(version).cloned()).flatten();
-                        let most = values.and_then(|v| v.get("hits.group.0.most_forwards").cloned());
+                        let values = exchange
+                            .changes(|c| c.versions.values(version).cloned())
+                            .flatten();
+                        let most =
+                            values.and_then(|v| v.get("hits.group.0.most_forwards").cloned());
                         bounds.borrow_mut().insert(id, most);
                         owed.set(owed.get() + 1);
                         let (answered, spoilt) = (answered.clone(), spoilt.clone());
@@ -878,7 +1092,11 @@
             for i in 0..many {
                 let bad = i % 10 == 9;
                 let shared = !bad && i % 3 == 0;
-                let file = if bad { text(1 + i % 9, 0.001) } else { text(1 + i % 9, 1.9) };
+                let file = if bad {
+                    text(1 + i % 9, 0.001)
+                } else {
+                    text(1 + i % 9, 1.9)
+                };
                 let (number, _) = hands.stage(&file, "ada", "a test").await.expect("staged");
                 spoilt.set(0.0);
                 let began = unix();
@@ -906,7 +1124,8 @@
                     }
                 }
                 // Until service is as usual again.
-                tokio::time::sleep(Duration::from_millis(if bad || shared { 1500 } else { 50 })).await;
+                tokio::time::sleep(Duration::from_millis(if bad || shared { 1500 } else { 50 }))
+                    .await;
             }
             over.set(true);
             tokio::time::sleep(Duration::from_secs(3)).await;
--- a/crates/sidecar/src/life/extproc.rs
+++ b/crates/sidecar/src/life/extproc.rs
@@ -53,7 +53,12 @@
     /// All that is remembered, as a journal begins with it.
     fn snapshot(&self) -> Option<Vec<Kept>> {
         let records = self.front.borrow().upgrade()?.snapshot();
-        Some([Kept::From(self.from)].into_iter().chain(records.into_iter().map(Kept::One)).collect())
+        Some(
+            [Kept::From(self.from)]
+                .into_iter()
+                .chain(records.into_iter().map(Kept::One))
+                .collect(),
+        )
     }
 }
 
@@ -98,19 +103,39 @@
 }
 
 /// Where callers are listened for, and their front; nothing without the element.
-pub fn front(values: &Values, exchange: &Rc<Exchange>) -> Result<Option<(SocketAddr, Rc<Front>)>, String> {
-    let Some(at) = listens(values, "extproc")? else { return Ok(None) };
+pub fn front(
+    values: &Values,
+    exchange: &Rc<Exchange>,
+) -> Result<Option<(SocketAddr, Rc<Front>)>, String> {
+    let Some(at) = listens(values, "extproc")? else {
+        return Ok(None);
+    };
     let table = Table::read(values, exchange)?;
     let (mut kept, mut records, mut from) = (None, Vec::new(), unix());
     if let Some(path) = text(values, "extproc.journal") {
         // Without it payments would be taken that nobody remembers: that is refused, not gone on without.
-        let (keeper, found, since) = journal(path.as_ref()).map_err(|e| format!("extproc/@journal: {e}"))?;
+        let (keeper, found, since) =
+            journal(path.as_ref()).map_err(|e| format!("extproc/@journal: {e}"))?;
         (records, from) = (found, since);
-        kept = Some(Rc::new(Journal { keeper, from, written: Cell::default(), front: RefCell::default() }));
+        kept = Some(Rc::new(Journal {
+            keeper,
+            from,
+            written: Cell::default(),
+            front: RefCell::default(),
+        }));
     }
     let own = exchange.clone();
-    let shelf = kept.clone().map(|journal| Rc::new(OnDisk(journal)) as Rc<dyn Shelf>);
-    let front = Rc::new(Front::new(own, table, headers::TURNED_AWAY, shelf, &records, from));
+    let shelf = kept
+        .clone()
+        .map(|journal| Rc::new(OnDisk(journal)) as Rc<dyn Shelf>);
+    let front = Rc::new(Front::new(
+        own,
+        table,
+        headers::TURNED_AWAY,
+        shelf,
+        &records,
+        from,
+    ));
     if let Some(journal) = kept {
         *journal.front.borrow_mut() = Rc::downgrade(&front);
         // Begun anew with what is still remembered, so that it does not grow with each restart; asked for before
@@ -151,19 +176,42 @@
     #[test]
     fn a_restart_knows_what_was_told() {
         let path = folder("extproc").join("calls.journal");
-        let ask = |id| Ask { id, kind: Kind::Mutating, again: false, began: Some(unix() - 0.5) };
+        let ask = |id| Ask {
+            id,
+            kind: Kind::Mutating,
+            again: false,
+            began: Some(unix() - 0.5),
+        };
         let start = || {
             let exchange = exchange_of(&["127.0.0.1:1".parse().expect("an address")]);
-            front(&values(&path), &exchange).expect("a front").expect("one that is asked for").1
+            front(&values(&path), &exchange)
+                .expect("a front")
+                .expect("one that is asked for")
+                .1
         };
         run(async {
             let front = start();
-            assert_eq!(front.ask(&ask(1)), Err(Refusal::Unknown), "older than the journal");
+            assert_eq!(
+                front.ask(&ask(1)),
+                Err(Refusal::Unknown),
+                "older than the journal"
+            );
             for id in 1..4 {
-                front.ask(&Ask { began: None, ..ask(id) }).expect("new");
+                front
+                    .ask(&Ask {
+                        began: None,
+                        ..ask(id)
+                    })
+                    .expect("new");
             }
-            front.sent(1, "127.0.0.1:1".parse().expect("an address")).await.expect("written");
-            front.sent(2, "127.0.0.1:1".parse().expect("an address")).await.expect("written");
+            front
+                .sent(1, "127.0.0.1:1".parse().expect("an address"))
+                .await
+                .expect("written");
+            front
+                .sent(2, "127.0.0.1:1".parse().expect("an address"))
+                .await
+                .expect("written");
             front.over(2, true, Ran::Never);
             tokio::time::sleep(std::time::Duration::from_millis(700)).await;
         });
@@ -182,9 +230,14 @@
         std::fs::write(&path, &bytes).expect("flipped");
         run(async {
             let front = start();
-            assert_eq!(front.ask(&ask(9)), Err(Refusal::Unknown), "older than what is known");
+            assert_eq!(
+                front.ask(&ask(9)),
+                Err(Refusal::Unknown),
+                "older than what is known"
+            );
             let file = values(Path::new("/proc/nowhere/calls.journal"));
-            assert!(super::front(&file, &exchange()).is_err_and(|e| e.starts_with("extproc/@journal: ")));
+            assert!(super::front(&file, &exchange())
+                .is_err_and(|e| e.starts_with("extproc/@journal: ")));
         });
     }
 }
--- a/crates/sidecar/src/life/keeper.rs
+++ b/crates/sidecar/src/life/keeper.rs
@@ -26,9 +26,17 @@
 
 impl OnDisk {
     fn open(path: &Path) -> io::Result<OnDisk> {
-        let file = OpenOptions::new().read(true).append(true).create(true).open(path)?;
-        file.try_lock().map_err(|e| io::Error::other(format!("another process writes it: {e}")))?;
-        Ok(OnDisk { path: path.to_owned(), file })
+        let file = OpenOptions::new()
+            .read(true)
+            .append(true)
+            .create(true)
+            .open(path)?;
+        file.try_lock()
+            .map_err(|e| io::Error::other(format!("another process writes it: {e}")))?;
+        Ok(OnDisk {
+            path: path.to_owned(),
+            file,
+        })
     }
 
     /// So that a name in its folder outlives a loss of power.
@@ -91,7 +99,11 @@
     pub fn open(path: &Path) -> Result<Found<T>, String> {
         let told = |e: String| format!("{}: {e}", path.display());
         let disk = OnDisk::open(path).map_err(|e| told(e.to_string()))?;
-        let Opened { mut journal, records, damage } = Journal::open::<T>(disk).map_err(told)?;
+        let Opened {
+            mut journal,
+            records,
+            damage,
+        } = Journal::open::<T>(disk).map_err(told)?;
         let (jobs, wanted) = sync_channel(WAITING);
         let write = move || {
             let mut next = None;
@@ -110,14 +122,20 @@
                             dones.push(done);
                         }
                         let result = journal.add_all(&steps);
-                        dones.into_iter().for_each(|done| drop(done.send(result.clone())));
+                        dones
+                            .into_iter()
+                            .for_each(|done| drop(done.send(result.clone())));
                     }
                     Job::Compact(_, done) if journal.len() <= LONGEST => drop(done.send(Ok(()))),
-                    Job::Anew(all, done) | Job::Compact(all, done) => drop(done.send(journal.compact(&all))),
+                    Job::Anew(all, done) | Job::Compact(all, done) => {
+                        drop(done.send(journal.compact(&all)))
+                    }
                 }
             }
         };
-        let thread = std::thread::Builder::new().name("journal".into()).spawn(write);
+        let thread = std::thread::Builder::new()
+            .name("journal".into())
+            .spawn(write);
         thread.map_err(|e| told(e.to_string()))?;
         Ok((Keeper { jobs }, records, damage))
     }
@@ -130,7 +148,10 @@
         match tokio::time::timeout(SLOW, answer).await {
             Ok(Ok(result)) => result,
             Ok(Err(_)) => Err("journal: its thread has ended".into()),
-            Err(_) => Err(format!("journal: the disk took more than {} s", SLOW.as_secs())),
+            Err(_) => Err(format!(
+                "journal: the disk took more than {} s",
+                SLOW.as_secs()
+            )),
         }
     }
 
@@ -158,7 +179,11 @@
     use magpieline_operator_config::versions::Step;
 
     fn step(number: u64) -> Step {
-        Step::Kept { number, at: 1.0, why: "a test".into() }
+        Step::Kept {
+            number,
+            at: 1.0,
+            why: "a test".into(),
+        }
     }
 
     #[test]
@@ -169,8 +194,13 @@
             assert_eq!((steps.len(), damage), (0, None));
             keeper.add(&step(1)).await.expect("added");
             keeper.add(&step(2)).await.expect("added");
-            keeper.compact(vec![step(9)]).await.expect("short enough as it is");
-            assert!(Keeper::<Step>::open(&path).is_err_and(|e| e.contains("another process writes it")));
+            keeper
+                .compact(vec![step(9)])
+                .await
+                .expect("short enough as it is");
+            assert!(
+                Keeper::<Step>::open(&path).is_err_and(|e| e.contains("another process writes it"))
+            );
         });
         std::thread::sleep(Duration::from_millis(300)); // until its thread has let the file go
         let bytes = std::fs::read(&path).expect("a file");
@@ -193,12 +223,20 @@
         std::thread::sleep(Duration::from_millis(300)); // until its thread has let the file go
         let (_, steps, damage) = Keeper::<Step>::open(&path).expect("a journal");
         assert_eq!((steps.len(), damage), (500, None));
-        assert!(steps.iter().zip(0..).all(|(s, i)| *s == step(i)), "in their order");
+        assert!(
+            steps.iter().zip(0..).all(|(s, i)| *s == step(i)),
+            "in their order"
+        );
     }
 
     #[test]
     fn a_journal_that_cannot_be_written_is_told_at_the_start() {
-        let told = Keeper::<Step>::open(Path::new("/proc/nowhere/changes.journal")).err().unwrap_or_default();
-        assert!(told.starts_with("/proc/nowhere/changes.journal: "), "{told}");
+        let told = Keeper::<Step>::open(Path::new("/proc/nowhere/changes.journal"))
+            .err()
+            .unwrap_or_default();
+        assert!(
+            told.starts_with("/proc/nowhere/changes.journal: "),
+            "{told}"
+        );
     }
 }
--- a/crates/sidecar/src/life/levels.rs
+++ b/crates/sidecar/src/life/levels.rs
@@ -53,7 +53,9 @@
                 }
                 (keeper, records) = (Some(opened), found);
             }
-            Err(e) => log::warn!("levels: journal: {e}; a restart will begin with its own first seconds"),
+            Err(e) => {
+                log::warn!("levels: journal: {e}; a restart will begin with its own first seconds")
+            }
         }
     }
     exchange.set_levels(values, seed, last(&records, unix()))?;
@@ -67,7 +69,9 @@
         actix_rt::spawn(keep(exchange.clone(), keeper, changes));
     }
     let own = exchange.clone();
-    actix_rt::spawn(async move { magpieline_dispatch::kept("levels", || own.clone().tend_levels()).await });
+    actix_rt::spawn(async move {
+        magpieline_dispatch::kept("levels", || own.clone().tend_levels()).await
+    });
     Ok(())
 }
 
@@ -126,7 +130,9 @@
             before = None;
             continue;
         }
-        let used = std::fs::read_to_string("/proc/self/stat").ok().and_then(|s| cpu(&s));
+        let used = std::fs::read_to_string("/proc/self/stat")
+            .ok()
+            .and_then(|s| cpu(&s));
         let at = std::time::Instant::now();
         if let (Some(used), Some((then, earlier))) = (used, before) {
             let passed = at.duration_since(then).as_secs_f64().max(1e-3);
@@ -135,9 +141,14 @@
         }
         before = used.map(|used| (at, used));
         if let Ok(open) = std::fs::read_dir("/proc/self/fd") {
-            exchange.reading(Reading::Descriptors, open.count() as f64 / means.descriptors);
+            exchange.reading(
+                Reading::Descriptors,
+                open.count() as f64 / means.descriptors,
+            );
         }
-        let held = std::fs::read_to_string("/proc/self/status").ok().and_then(|s| memory(&s));
+        let held = std::fs::read_to_string("/proc/self/status")
+            .ok()
+            .and_then(|s| memory(&s));
         if let Some(held) = held.filter(|_| means.memory > 0.0) {
             exchange.reading(Reading::Memory, held / means.memory);
         }
@@ -160,15 +171,26 @@
     fn proc_is_read_and_odd_text_is_none() {
         let stat = "7 (a b) c) S 1 7 7 0 -1 4194560 1 0 0 0 150 50 0 0 20 0 1 0 100 1 1";
         assert_eq!(cpu(stat), Some(2.0));
-        assert_eq!(memory("Name:\ta\nVmRSS:\t    2048 kB\n"), Some(2048.0 * 1024.0));
+        assert_eq!(
+            memory("Name:\ta\nVmRSS:\t    2048 kB\n"),
+            Some(2048.0 * 1024.0)
+        );
         assert!(cpu(&std::fs::read_to_string("/proc/self/stat").expect("readable")).is_some());
         assert!(memory(&std::fs::read_to_string("/proc/self/status").expect("readable")).is_some());
-        assert_eq!((cpu("odd"), cpu("1 (a) S 1"), memory("")), (None, None, None));
+        assert_eq!(
+            (cpu("odd"), cpu("1 (a) S 1"), memory("")),
+            (None, None, None)
+        );
     }
 
     #[test]
     fn the_last_change_counts_with_the_last_word_that_it_held() {
-        let change = |to: &str, at| Change { at, from: "full".into(), to: to.into(), because: "cpu".into() };
+        let change = |to: &str, at| Change {
+            at,
+            from: "full".into(),
+            to: to.into(),
+            because: "cpu".into(),
+        };
         let records = [
             Kept::Stands(1.0),
             Kept::Changed(change("busy", 100.0)),
@@ -188,7 +210,9 @@
           <group name='read' share='0.4' least='0.2'/></level></levels></magpieline>";
 
     fn values(journal: &str) -> Values {
-        Schema::own().check(&LEVELS.replace("JOURNAL", journal)).expect("good levels")
+        Schema::own()
+            .check(&LEVELS.replace("JOURNAL", journal))
+            .expect("good levels")
     }
 
     /// An agent over one node whose answers take as long as is said, and where clients reach it. Late is after 40 ms.
@@ -198,18 +222,27 @@
             async move {
                 while !message(&mut stream).await.is_empty() {
                     tokio::time::sleep(Duration::from_millis(pause.get())).await;
-                    write(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody").await;
+                    write(
+                        &mut stream,
+                        "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody",
+                    )
+                    .await;
                 }
             }
         });
         let info = serde_json::json!({"discovery": "pushed", "classes": [{"name": "read", "repeat": "retryable",
             "goal_time_us": 40000, "hard_limit_us": 2000000}]});
         let ways = ways(around().times.clone(), None, 1);
-        let exchange = Rc::new(Exchange::new(1, &info, &Chosen::default(), None, ways).expect("an exchange"));
+        let exchange =
+            Rc::new(Exchange::new(1, &info, &Chosen::default(), None, ways).expect("an exchange"));
         exchange.listed(true, true, vec![entry(node.await, 0)]);
         let listener = Rc::new(TcpListener::bind("127.0.0.1:0").await.expect("a listener"));
         let at = listener.local_addr().expect("an address");
-        actix_rt::spawn(clients::serve(exchange.clone(), listener, Rc::new(Crowd::new(200))));
+        actix_rt::spawn(clients::serve(
+            exchange.clone(),
+            listener,
+            Rc::new(Crowd::new(200)),
+        ));
         (exchange, at)
     }
 
@@ -220,7 +253,11 @@
             let mut stream = TcpStream::connect(at).await.expect("connected");
             asked += 1;
             let head = format!("GET /read HTTP/1.1\r\nhost: a\r\nx-txn: {number}-{asked}\r\n");
-            write(&mut stream, &format!("{head}x-remaining-ms: 1500\r\nconnection: close\r\n\r\n")).await;
+            write(
+                &mut stream,
+                &format!("{head}x-remaining-ms: 1500\r\nconnection: close\r\n\r\n"),
+            )
+            .await;
             let answer = message(&mut stream).await;
             match answer.get(..12) {
                 Some("HTTP/1.1 200") => answers[0] += 1,
@@ -259,7 +296,10 @@
             for pair in changes.windows(2) {
                 assert!(pair[1].at - pair[0].at >= 1.0, "{pair:?}");
             }
-            assert!(answers.iter().map(|a| a[0]).sum::<usize>() > 200, "{answers:?}");
+            assert!(
+                answers.iter().map(|a| a[0]).sum::<usize>() > 200,
+                "{answers:?}"
+            );
             tokio::time::sleep(Duration::from_millis(200)).await;
             assert!(exchange.idle());
         });
@@ -285,8 +325,14 @@
         std::thread::sleep(Duration::from_millis(300)); // until its thread has let the file go
         run(async {
             let (stands, changes) = start(&file).levels().expect("levels");
-            assert_eq!((stands.level.as_str(), stands.starting, changes.len()), ("jam", false, 1));
-            assert_eq!(stands.because, "as before the restart: held by ada for 60 s");
+            assert_eq!(
+                (stands.level.as_str(), stands.starting, changes.len()),
+                ("jam", false, 1)
+            );
+            assert_eq!(
+                stands.because,
+                "as before the restart: held by ada for 60 s"
+            );
             let stands = start(&values("")).levels().expect("levels").0;
             assert_eq!((stands.level.as_str(), stands.starting), ("full", true));
         });
--- a/crates/sidecar/src/life/log_form.rs
+++ b/crates/sidecar/src/life/log_form.rs
@@ -13,8 +13,14 @@
 
 impl<'a> VisitSource<'a> for Pairs<'_> {
     fn visit_pair(&mut self, key: Key<'a>, value: Value<'a>) -> Result<(), log::kv::Error> {
-        let plain = value.to_u64().map(serde_json::Value::from).or_else(|| value.to_f64().map(Into::into));
-        self.0.insert(key.to_string(), plain.unwrap_or_else(|| value.to_string().into()));
+        let plain = value
+            .to_u64()
+            .map(serde_json::Value::from)
+            .or_else(|| value.to_f64().map(Into::into));
+        self.0.insert(
+            key.to_string(),
+            plain.unwrap_or_else(|| value.to_string().into()),
+        );
         Ok(())
     }
 }
@@ -23,7 +29,10 @@
 fn object(record: &log::Record, at: f64) -> String {
     let mut all = serde_json::Map::new();
     all.insert("at".into(), at.into());
-    all.insert("level".into(), record.level().as_str().to_lowercase().into());
+    all.insert(
+        "level".into(),
+        record.level().as_str().to_lowercase().into(),
+    );
     all.insert("event".into(), record.args().to_string().into());
     // What can't be shown is left out; the event itself is there.
     let _ = record.key_values().visit(&mut Pairs(&mut all));
@@ -38,7 +47,11 @@
     builder.format(move |out, record| {
         if JSON.load(Ordering::Relaxed) {
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-            return writeln!(out, "{}", object(record, now.map_or(0.0, |d| d.as_secs_f64())));
+            return writeln!(
+                out,
+                "{}",
+                object(record, now.map_or(0.0, |d| d.as_secs_f64()))
+            );
         }
         human.format(out, record)
     });
--- a/crates/sidecar/src/life/mod.rs
+++ b/crates/sidecar/src/life/mod.rs
@@ -39,7 +39,9 @@
         // What the journal keeps runs, but for what only a start reads.
         start.values = control::running(&begin.versions);
         if control::places(&start.values) != places {
-            return Err("control: the file and the version that was kept differ; mend the file".into());
+            return Err(
+                "control: the file and the version that was kept differ; mend the file".into(),
+            );
         }
         begun = Some(begin);
     }
@@ -51,7 +53,11 @@
         let (reloads, stops) = (reload::signals()?, stop::signals()?);
         let bind = |at: SocketAddr| {
             let listen = || {
-                let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+                let socket = if at.is_ipv4() {
+                    TcpSocket::new_v4()
+                } else {
+                    TcpSocket::new_v6()
+                }?;
                 socket.set_reuseaddr(true)?; // the address is the same after a restart
                 socket.bind(at)?;
                 socket.listen(BACKLOG)
@@ -74,16 +80,26 @@
         let (own, desk) = (exchange.clone(), Rc::new(platform::Clerk(around.clone())));
         actix_rt::spawn(async move { kept("review", || own.clone().review(desk.clone())).await });
         let (own, at) = (exchange.clone(), around.clone());
-        actix_rt::spawn(async move { kept("list", || list::follow(own.clone(), at.clone())).await });
+        actix_rt::spawn(
+            async move { kept("list", || list::follow(own.clone(), at.clone())).await },
+        );
         let (own, at) = (exchange.clone(), around.clone());
-        actix_rt::spawn(async move { kept("news", || platform::follow(own.clone(), at.clone())).await });
+        actix_rt::spawn(
+            async move { kept("news", || platform::follow(own.clone(), at.clone())).await },
+        );
         let mut hands = None;
         if let Some(begun) = begun {
             exchange.hold(begun.versions, start.seed())?;
             levels::begin(&exchange, &start.values, start.seed())?;
             actix_rt::spawn(levels::read(exchange.clone(), start.means()));
             let seed = start.seed();
-            let held = control::Hands::new(exchange.clone(), begun.keeper, operators, begun.unkept, seed);
+            let held = control::Hands::new(
+                exchange.clone(),
+                begun.keeper,
+                operators,
+                begun.unkept,
+                seed,
+            );
             let held = Rc::new(held);
             if let Some((socket, _)) = places {
                 control::write_start(&held, &begun.fresh).await;
@@ -94,10 +110,19 @@
             actix_rt::spawn(async move { kept("watch", || own.clone().watch()).await });
             hands = Some(held);
         }
-        actix_rt::spawn(reload::follow(exchange.clone(), around, path, hands, reloads));
+        actix_rt::spawn(reload::follow(
+            exchange.clone(),
+            around,
+            path,
+            hands,
+            reloads,
+        ));
         let (own, visits) = (exchange.clone(), crowd.clone());
         actix_rt::spawn(async move {
-            kept("clients", || clients::serve(own.clone(), listener.clone(), visits.clone())).await;
+            kept("clients", || {
+                clients::serve(own.clone(), listener.clone(), visits.clone())
+            })
+            .await;
         });
         stop::asked(stops).await;
         stop::finish(exchange, crowd).await;
--- a/crates/sidecar/src/life/record.rs
+++ b/crates/sidecar/src/life/record.rs
@@ -18,14 +18,21 @@
 impl Record {
     /// Opens a record to add to; an error says why it can't be.
     pub fn open(path: &PathBuf) -> Result<Record, String> {
-        let open = || std::fs::OpenOptions::new().create(true).append(true).open(path);
+        let open = || {
+            std::fs::OpenOptions::new()
+                .create(true)
+                .append(true)
+                .open(path)
+        };
         let told = |e: std::io::Error| format!("verdict: record: {}: {e}", path.display());
         let file = open().map_err(told)?;
         let size = file.metadata().map_err(told)?.len();
         let (lines, wanted) = sync_channel(WAITING);
         let path = path.clone();
         let write = std::thread::Builder::new().name("record".into());
-        write.spawn(move || keep(file, size, &path, &wanted)).map_err(told)?;
+        write
+            .spawn(move || keep(file, size, &path, &wanted))
+            .map_err(told)?;
         Ok(Record { lines })
     }
 
@@ -39,7 +46,10 @@
     pub fn add(&self, looked: &Looked) {
         let line = serde_json::to_string(looked).unwrap_or_default();
         if self.lines.try_send(line).is_err() {
-            log::debug!("record: a look at build {} was left out, the disk is slow", looked.build);
+            log::debug!(
+                "record: a look at build {} was left out, the disk is slow",
+                looked.build
+            );
         }
     }
 }
@@ -50,8 +60,12 @@
     while let Ok(line) = lines.recv() {
         if size > LONGEST {
             let aside = path.with_extension("old");
-            let anew = std::fs::rename(path, &aside)
-                .and_then(|()| std::fs::OpenOptions::new().create(true).append(true).open(path));
+            let anew = std::fs::rename(path, &aside).and_then(|()| {
+                std::fs::OpenOptions::new()
+                    .create(true)
+                    .append(true)
+                    .open(path)
+            });
             match anew {
                 Ok(new) => (file, size) = (new, 0),
                 Err(e) => log::warn!("record: {}: could not begin anew: {e}", path.display()),
--- a/crates/sidecar/src/life/reload.rs
+++ b/crates/sidecar/src/life/reload.rs
@@ -23,8 +23,9 @@
 fn take(exchange: &Exchange, around: &Around, path: &Path) -> Result<(), String> {
     let start = start::file(path)?;
     let settings = start.settings()?;
-    let settled =
-        exchange.take_settings(settings).map_err(|e| format!("{}: settings: {e}", path.display()))?;
+    let settled = exchange
+        .take_settings(settings)
+        .map_err(|e| format!("{}: settings: {e}", path.display()))?;
     around.settle(settings);
     around.discovery.set(&start.discovery);
     around.platform.set(&start.platform);
@@ -88,7 +89,10 @@
     fn new_addresses_hold_at_once_and_a_wrong_file_is_read_again() {
         run(async {
             let list = r#"{"rev":7,"all":true,"targets":[]}"#;
-            let list = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
+            let list = format!(
+                "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}",
+                list.len()
+            );
             let stream = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".to_owned();
             let (old_list, new_list) = (silent(list.clone()).await, silent(list).await);
             let (old_news, new_news) = (silent(stream.clone()).await, silent(stream).await);
@@ -101,14 +105,23 @@
             actix_rt::time::sleep(PAUSE).await;
             assert_eq!((old_list.1.get(), old_news.1.get()), (1, 1));
 
-            let path = std::env::temp_dir().join(format!("magpieline-reload-{}.json", std::process::id()));
+            let path =
+                std::env::temp_dir().join(format!("magpieline-reload-{}.json", std::process::id()));
             std::fs::write(&path, "{").expect("a file");
             let told = take(&exchange, &around, &path).expect_err("a complaint");
             assert!(told.contains("expected JSON"), "{told}");
             let signal = signals().expect("a signal");
-            actix_rt::spawn(follow(exchange.clone(), around.clone(), path.clone(), None, signal));
+            actix_rt::spawn(follow(
+                exchange.clone(),
+                around.clone(),
+                path.clone(),
+                None,
+                signal,
+            ));
             let id = std::process::id().to_string();
-            let sent = std::process::Command::new("kill").args(["-HUP", &id]).status();
+            let sent = std::process::Command::new("kill")
+                .args(["-HUP", &id])
+                .status();
             assert!(sent.is_ok_and(|s| s.success()));
             actix_rt::time::sleep(PAUSE / 2).await;
             let body = start::tests::body_at(&new_list.0, &new_news.0);
@@ -124,17 +137,26 @@
     #[test]
     fn settings_change_under_load_both_ways_and_every_hit_has_one_answer() {
         run_within(20, async {
-            let seen = Rc::new(std::cell::RefCell::new(std::collections::BTreeMap::<String, u32>::new()));
+            let seen = Rc::new(std::cell::RefCell::new(std::collections::BTreeMap::<
+                String,
+                u32,
+            >::new()));
             let count = seen.clone();
             let node = server(move |mut stream| {
                 let count = count.clone();
                 async move {
                     loop {
                         let text = message(&mut stream).await;
-                        let Some(path) = text.split(' ').nth(1) else { break };
+                        let Some(path) = text.split(' ').nth(1) else {
+                            break;
+                        };
                         *count.borrow_mut().entry(path.to_owned()).or_default() += 1;
                         actix_rt::time::sleep(PAUSE).await;
-                        write(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").await;
+                        write(
+                            &mut stream,
+                            "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok",
+                        )
+                        .await;
                     }
                 }
             })
@@ -142,7 +164,8 @@
             let (exchange, around) = (exchange_of(&[node]), around());
             let before: serde_json::Value = serde_json::from_str(SETTINGS).expect("settings");
             let mut after = before.clone();
-            after["limits"] = serde_json::json!({"max_attempts": 7, "peers": true, "conn_idle_us": 9000000});
+            after["limits"] =
+                serde_json::json!({"max_attempts": 7, "peers": true, "conn_idle_us": 9000000});
             after["obligations"] = serde_json::json!({"cold_us": 4900000, "fall_multiple": 2.0});
             after["classes"][0]["goal_time_us"] = 400000.into();
             let mut odd = after.clone();
@@ -161,26 +184,45 @@
             for i in 0..100 {
                 let mut headers = awc::http::header::HeaderMap::new();
                 let id = awc::http::header::HeaderValue::from(i);
-                headers.insert(awc::http::header::HeaderName::from_static(crate::wire::headers::TXN), id);
-                let arrival = Arrival { group: 1, remaining: 2.0, ..Arrival::default() };
+                headers.insert(
+                    awc::http::header::HeaderName::from_static(crate::wire::headers::TXN),
+                    id,
+                );
+                let arrival = Arrival {
+                    group: 1,
+                    remaining: 2.0,
+                    ..Arrival::default()
+                };
                 let target = format!("/pay/{i}").parse().expect("a target");
-                let head = Head { method: awc::http::Method::POST, target, headers };
-                let load = Load { id: i, head: Box::new(head), body: Default::default() };
+                let head = Head {
+                    method: awc::http::Method::POST,
+                    target,
+                    headers,
+                };
+                let load = Load {
+                    id: i,
+                    head: Box::new(head),
+                    body: Default::default(),
+                };
                 tickets.push(exchange.take(arrival, load).expect("a hit"));
                 match i {
                     20 | 60 => assert_eq!(put(&after), Ok(())),
                     40 | 80 => assert_eq!(put(&before), Ok(())),
                     50 => {
                         let told = put(&odd).expect_err("other path groups");
-                        assert!(
-                            told.ends_with("classes.1.name: found 'sell', expected 'pay' as at the start")
-                        );
+                        assert!(told.ends_with(
+                            "classes.1.name: found 'sell', expected 'pay' as at the start"
+                        ));
                         let told = put(&wild).expect_err("a word for a number");
                         assert!(
                             told.contains("fall_multiple: found 'twice', expected a number from"),
                             "{told}"
                         );
-                        assert_eq!(exchange.take_settings(&before), Ok(false), "what held goes on");
+                        assert_eq!(
+                            exchange.take_settings(&before),
+                            Ok(false),
+                            "what held goes on"
+                        );
                     }
                     _ => {}
                 }
@@ -190,7 +232,10 @@
                 assert!(matches!(ticket.answer().await, Answer::Delivered { .. }));
             }
             assert_eq!(seen.borrow().len(), 100);
-            assert!(seen.borrow().values().all(|n| *n == 1), "none is sent twice");
+            assert!(
+                seen.borrow().values().all(|n| *n == 1),
+                "none is sent twice"
+            );
         });
     }
 }
--- a/crates/sidecar/src/life/resp.rs
+++ b/crates/sidecar/src/life/resp.rs
@@ -9,7 +9,9 @@
 
 /// The first line of a file that holds a password.
 fn password(values: &Values, name: &str) -> Result<Option<String>, String> {
-    let Some(path) = text(values, &format!("resp.{name}")) else { return Ok(None) };
+    let Some(path) = text(values, &format!("resp.{name}")) else {
+        return Ok(None);
+    };
     let told = |what: String| format!("resp/@{}: {path}: {what}", name.replace('_', "-"));
     let all = std::fs::read_to_string(path).map_err(|e| told(format!("could not be read: {e}")))?;
     let line = all.lines().next().unwrap_or_default().trim();
@@ -21,7 +23,9 @@
 
 /// How this agent logs in at RESP nodes, if they ask for it.
 pub fn login(values: &Values) -> Result<Option<Login>, String> {
-    let user = text(values, "resp.node_user").unwrap_or("default").to_owned();
+    let user = text(values, "resp.node_user")
+        .unwrap_or("default")
+        .to_owned();
     Ok(password(values, "node_password_file")?.map(|password| Login { user, password }))
 }
 
@@ -31,7 +35,9 @@
     exchange: &Rc<Exchange>,
     crowd: &Rc<Crowd>,
 ) -> Result<Option<(SocketAddr, Rc<Front>)>, String> {
-    let Some(at) = listens(values, "resp")? else { return Ok(None) };
+    let Some(at) = listens(values, "resp")? else {
+        return Ok(None);
+    };
     let table = Table::read(values, exchange)?;
     let weight = number(values, "resp.weight").unwrap_or(1.0);
     let password = password(values, "password_file")?;
@@ -72,11 +78,19 @@
             })
             .await;
             let exchange = exchange();
-            exchange.listed(true, true, vec![entry(http, 0), entry(resp, magpieline_resp_listener::SPEAKS)]);
+            exchange.listed(
+                true,
+                true,
+                vec![
+                    entry(http, 0),
+                    entry(resp, magpieline_resp_listener::SPEAKS),
+                ],
+            );
             let crowd = Rc::new(Crowd::new(256));
             let values = Schema::own().check(FILE).expect("a good file");
-            let (_, front) =
-                front(&values, &exchange, &crowd).expect("a front").expect("one that is asked for");
+            let (_, front) = front(&values, &exchange, &crowd)
+                .expect("a front")
+                .expect("one that is asked for");
             let bound = || async { TcpListener::bind("127.0.0.1:0").await.expect("a listener") };
             let (a, b) = (bound().await, bound().await);
             let (at_http, at_resp) = (a.local_addr().expect("one"), b.local_addr().expect("one"));
@@ -123,12 +137,19 @@
                 let values = Schema::own().check(file).expect("good by the schema");
                 front(&values, &exchange, &crowd).err().unwrap_or_default()
             };
-            assert!(front(&Values::new(), &exchange, &crowd).expect("nothing asked for").is_none());
+            assert!(front(&Values::new(), &exchange, &crowd)
+                .expect("nothing asked for")
+                .is_none());
             let odd = "<magpieline><resp listen='here'/></magpieline>";
-            assert_eq!(told(odd), "resp/@listen: found 'here', expected an address and a port");
+            assert_eq!(
+                told(odd),
+                "resp/@listen: found 'here', expected an address and a port"
+            );
             assert!(told(&FILE.replace("'read'", "'odd'")).contains("group: found 'odd'"));
             let file = FILE.replace("<resp", "<resp password-file='/nowhere/at/all'");
-            assert!(told(&file).starts_with("resp/@password-file: /nowhere/at/all: could not be read"));
+            assert!(
+                told(&file).starts_with("resp/@password-file: /nowhere/at/all: could not be read")
+            );
         });
     }
 }
--- a/crates/sidecar/src/life/start.rs
+++ b/crates/sidecar/src/life/start.rs
@@ -30,8 +30,8 @@
 
 /// Reads an operators' file; an error lists all that is wrong with it.
 pub fn operators(path: &Path) -> Result<Values, String> {
-    let text =
-        std::fs::read_to_string(path).map_err(|e| format!("{}: could not be read: {e}", path.display()))?;
+    let text = std::fs::read_to_string(path)
+        .map_err(|e| format!("{}: could not be read: {e}", path.display()))?;
     Schema::own().check(&text).map_err(|all| {
         let lines = all.iter().map(|c| format!("{}: {c}", path.display()));
         lines.collect::<Vec<_>>().join("\n")
@@ -46,12 +46,22 @@
 /// Hands values to those whom they concern.
 pub fn chosen(values: &Values) -> Chosen {
     let clients = number(values, "transport.client_connections").map(|most| most as usize); // bounded by the schema
-    let mut chosen = Chosen { clients, ..Chosen::default() };
-    for (name, setting) in values.iter().filter(|(name, _)| name.starts_with("verdict.")) {
+    let mut chosen = Chosen {
+        clients,
+        ..Chosen::default()
+    };
+    for (name, setting) in values
+        .iter()
+        .filter(|(name, _)| name.starts_with("verdict."))
+    {
         match setting {
             Setting::Text(_) if name == "verdict.record" => {}
-            Setting::Text(text) => drop(chosen.named.insert(name.clone(), Value::Text(text.clone()))),
-            Setting::Number(number) => drop(chosen.named.insert(name.clone(), Value::Number(*number))),
+            Setting::Text(text) => {
+                drop(chosen.named.insert(name.clone(), Value::Text(text.clone())))
+            }
+            Setting::Number(number) => {
+                drop(chosen.named.insert(name.clone(), Value::Number(*number)))
+            }
             Setting::Flag(flag) => drop(chosen.named.insert(name.clone(), Value::Flag(*flag))),
         }
     }
@@ -60,24 +70,30 @@
 
 /// Opens the record of looks that is named, if one is.
 pub fn looks(values: &Values) -> Result<Option<Looks>, String> {
-    text(values, "verdict.record").map(|path| Record::looks(&path.into())).transpose()
+    text(values, "verdict.record")
+        .map(|path| Record::looks(&path.into()))
+        .transpose()
 }
 
 /// Where clients of an element's front are listened for; nothing without the element.
 pub fn listens(values: &Values, element: &str) -> Result<Option<SocketAddr>, String> {
-    let Some(listen) = text(values, &format!("{element}.listen")) else { return Ok(None) };
+    let Some(listen) = text(values, &format!("{element}.listen")) else {
+        return Ok(None);
+    };
     let wrong = |_| format!("{element}/@listen: found '{listen}', expected an address and a port");
     listen.parse().map(Some).map_err(wrong)
 }
 
 fn address(what: &str, text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{what}: expected an address and a port, not '{text}'"))
+    text.parse()
+        .map_err(|_| format!("{what}: expected an address and a port, not '{text}'"))
 }
 
 /// The configuration that is named, or that the environment names.
 pub fn named(path: Option<PathBuf>) -> Result<PathBuf, String> {
     let variable = || std::env::var_os("GW_CONFIG").map(PathBuf::from);
-    path.or_else(variable).ok_or_else(|| "GW_CONFIG: expected the path of a configuration".into())
+    path.or_else(variable)
+        .ok_or_else(|| "GW_CONFIG: expected the path of a configuration".into())
 }
 
 /// Reads a configuration as it stands in its file.
@@ -107,12 +123,21 @@
 
 impl Start {
     fn parse(body: Json) -> Result<Start, String> {
-        let all = Message { name: "configuration", body: &body };
-        let deployer = Message { name: "deployer", body: all.needed("deployer", "an object")? };
-        let limits = Message { name: "limits", body: all.needed("limits", "an object")? };
+        let all = Message {
+            name: "configuration",
+            body: &body,
+        };
+        let deployer = Message {
+            name: "deployer",
+            body: all.needed("deployer", "an object")?,
+        };
+        let limits = Message {
+            name: "limits",
+            body: all.needed("limits", "an object")?,
+        };
         let seed = all.text("seed")?;
-        let seed =
-            u64::from_str_radix(seed, 16).map_err(|_| all.wrong("seed", "up to 16 hexadecimal digits"))?;
+        let seed = u64::from_str_radix(seed, 16)
+            .map_err(|_| all.wrong("seed", "up to 16 hexadecimal digits"))?;
         Ok(Start {
             name: all.text("name")?.to_owned(),
             listen: address("configuration: listen", all.text("listen")?)?,
@@ -131,7 +156,12 @@
 
     /// What the process may use; a limit that is not stated is one core, and no bound on memory.
     pub fn means(&self) -> Means {
-        let of = |name: &str| self.body.get("limits").and_then(|l| l.get(name)).and_then(Json::as_f64);
+        let of = |name: &str| {
+            self.body
+                .get("limits")
+                .and_then(|l| l.get(name))
+                .and_then(Json::as_f64)
+        };
         Means {
             cores: of("cores").filter(|c| *c > 0.0).unwrap_or(1.0),
             descriptors: (self.descriptors as f64).max(1.0),
@@ -141,28 +171,52 @@
 
     /// The settings of the deployment.
     pub fn settings(&self) -> Result<&Json, String> {
-        Message { name: "configuration", body: &self.body }.needed("settings", "an object of settings")
+        Message {
+            name: "configuration",
+            body: &self.body,
+        }
+        .needed("settings", "an object of settings")
     }
 
     /// The partners that the configuration names.
     pub fn around(&self) -> Result<Around, String> {
-        Ok(Around::new(self.discovery.clone(), self.platform.clone(), self.settings()?))
+        Ok(Around::new(
+            self.discovery.clone(),
+            self.platform.clone(),
+            self.settings()?,
+        ))
     }
 
     /// The exchange, told what the configuration knows.
     pub fn exchange(&self, around: &Around) -> Result<Exchange, String> {
         let login = resp::login(&self.values)?;
-        let (info, ways) = (self.settings()?, nodes::ways(around.times.clone(), login, self.seed));
-        let exchange = Exchange::new(self.seed, info, &chosen(&self.values), looks(&self.values)?, ways)
-            .map_err(|e| format!("settings: {e}"))?;
+        let (info, ways) = (
+            self.settings()?,
+            nodes::ways(around.times.clone(), login, self.seed),
+        );
+        let exchange = Exchange::new(
+            self.seed,
+            info,
+            &chosen(&self.values),
+            looks(&self.values)?,
+            ways,
+        )
+        .map_err(|e| format!("settings: {e}"))?;
         if let Some(known) = self.body.get("known").filter(|k| !k.is_null()) {
             let rev = list::take(&exchange, known, false).map_err(|e| format!("known: {e}"))?;
             around.list_held.set(Some(rev));
         }
-        let news = self.body.get("deployer").and_then(|d| d.get("news")).and_then(Json::as_object);
+        let news = self
+            .body
+            .get("deployer")
+            .and_then(|d| d.get("news"))
+            .and_then(Json::as_object);
         if let Some(news) = news.filter(|n| !n.is_empty()) {
             let plain = |v: &Json| v.as_str().map_or_else(|| v.to_string(), str::to_owned);
-            let fields = news.iter().map(|(name, value)| (name.clone(), plain(value))).collect();
+            let fields = news
+                .iter()
+                .map(|(name, value)| (name.clone(), plain(value)))
+                .collect();
             exchange.heard(platform::news(&fields).map_err(|e| format!("deployer: {e}"))?);
         }
         Ok(exchange)
@@ -205,7 +259,9 @@
         crate::testing::run(async {
             let start = Start::parse(body()).expect("a start");
             assert_eq!((start.name.as_str(), start.descriptors), ("n1", 1024));
-            let exchange = start.exchange(&start.around().expect("partners")).expect("an exchange");
+            let exchange = start
+                .exchange(&start.around().expect("partners"))
+                .expect("an exchange");
             assert!(exchange.ready());
             assert_eq!(exchange.nodes_known(), 1);
         });
@@ -213,31 +269,60 @@
 
     #[test]
     fn defaults_of_the_schema_are_those_that_the_decisions_take() {
-        let values = Schema::own().check("<magpieline><verdict/></magpieline>").expect("a file");
+        let values = Schema::own()
+            .check("<magpieline><verdict/></magpieline>")
+            .expect("a file");
         let chosen = chosen(&values);
         let terms = terms(&chosen).expect("terms").expect("stated");
         assert_eq!(terms, magpieline_sequential_test::Terms::default());
         assert!(
-            Schema::own().check("<magpieline/>").expect("a file").is_empty(),
+            Schema::own()
+                .check("<magpieline/>")
+                .expect("a file")
+                .is_empty(),
             "nothing without its element"
         );
     }
 
     #[test]
     fn the_file_in_deploy_is_good() {
-        let values =
-            Schema::own().check(include_str!("../../../../deploy/magpieline.xml")).expect("a good file");
-        assert_eq!(values.get("verdict.shows_after_s"), Some(&Setting::Number(12.0)));
+        let values = Schema::own()
+            .check(include_str!("../../../../deploy/magpieline.xml"))
+            .expect("a good file");
+        assert_eq!(
+            values.get("verdict.shows_after_s"),
+            Some(&Setting::Number(12.0))
+        );
     }
 
     #[test]
     fn what_is_wrong_is_named_with_what_was_expected() {
         for (pointer, value, told) in [
-            ("/seed", "no".into(), "configuration: seed: expected up to 16 hexadecimal digits"),
-            ("/listen", "x".into(), "configuration: listen: expected an address and a port, not 'x'"),
-            ("/limits", Json::Null, "configuration: limits: expected an object"),
-            ("/deployer/address", 7.into(), "deployer: address: expected text"),
-            ("/deployer/news/progress", "odd".into(), "deployer: news: progress: expected a phase"),
+            (
+                "/seed",
+                "no".into(),
+                "configuration: seed: expected up to 16 hexadecimal digits",
+            ),
+            (
+                "/listen",
+                "x".into(),
+                "configuration: listen: expected an address and a port, not 'x'",
+            ),
+            (
+                "/limits",
+                Json::Null,
+                "configuration: limits: expected an object",
+            ),
+            (
+                "/deployer/address",
+                7.into(),
+                "deployer: address: expected text",
+            ),
+            (
+                "/deployer/news/progress",
+                "odd".into(),
+                "deployer: news: progress: expected a phase",
+            ),
             (
                 "/known/targets/0/state",
                 "odd".into(),
@@ -248,11 +333,20 @@
                 "odd".into(),
                 "settings: classes.0.repeat: expected retryable, dedup or fragile",
             ),
-            ("/settings/classes", Json::Null, "settings: classes: expected at least one"),
+            (
+                "/settings/classes",
+                Json::Null,
+                "settings: classes: expected at least one",
+            ),
         ] {
             assert_eq!(complaint(pointer, value), told);
         }
-        let missing = read(Path::new("/nowhere/at/all"), None).err().unwrap_or_default();
-        assert!(missing.starts_with("/nowhere/at/all: could not be read"), "{missing}");
+        let missing = read(Path::new("/nowhere/at/all"), None)
+            .err()
+            .unwrap_or_default();
+        assert!(
+            missing.starts_with("/nowhere/at/all: could not be read"),
+            "{missing}"
+        );
     }
 }
--- a/crates/sidecar/src/life/stop.rs
+++ b/crates/sidecar/src/life/stop.rs
@@ -18,7 +18,10 @@
 
 /// The signals that end the program: SIGTERM and SIGINT.
 pub fn signals() -> Result<[Signal; 2], String> {
-    Ok([listen(SignalKind::terminate())?, listen(SignalKind::interrupt())?])
+    Ok([
+        listen(SignalKind::terminate())?,
+        listen(SignalKind::interrupt())?,
+    ])
 }
 
 /// Waits for one of them.
@@ -61,7 +64,11 @@
         let slow = server(move |mut stream| async move {
             while !message(&mut stream).await.is_empty() {
                 tokio::time::sleep(Duration::from_millis(after)).await;
-                write(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody").await;
+                write(
+                    &mut stream,
+                    "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody",
+                )
+                .await;
             }
         });
         let (exchange, crowd) = (exchange_of(&[slow.await]), Rc::new(Crowd::new(100)));
@@ -75,7 +82,10 @@
         let (mut stream, mut answer) = (TcpStream::connect(address).await?, String::new());
         let id = stream.local_addr()?.port().to_string();
         write(&mut stream, &HIT.replace('%', &id)).await;
-        stream.read_to_string(&mut answer).await.expect("an answer and the end");
+        stream
+            .read_to_string(&mut answer)
+            .await
+            .expect("an answer and the end");
         Ok(answer)
     }
 
@@ -95,10 +105,17 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
             let begun = Instant::now();
             finish(exchange, crowd).await;
-            assert!(begun.elapsed() < Duration::from_millis(1800), "{:?}", begun.elapsed());
+            assert!(
+                begun.elapsed() < Duration::from_millis(1800),
+                "{:?}",
+                begun.elapsed()
+            );
             for answer in answers {
                 let answer = answer.await.expect("a task that ends");
-                assert!(answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("body"), "{answer}");
+                assert!(
+                    answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("body"),
+                    "{answer}"
+                );
             }
             assert_eq!(idle.read(&mut [0; 8]).await.expect("the end"), 0);
         });
@@ -116,7 +133,11 @@
             });
             let begun = Instant::now();
             finish(exchange, crowd).await;
-            assert!(begun.elapsed() < Duration::from_millis(1500), "{:?}", begun.elapsed());
+            assert!(
+                begun.elapsed() < Duration::from_millis(1500),
+                "{:?}",
+                begun.elapsed()
+            );
             client.await.expect("every answer whole");
         });
     }
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -308,19 +308,29 @@
 
 fn run(command: Command) -> Result<(), String> {
     match command {
-        Command::Serve(Serve { config, operators }) => life::serve(life::start::named(config)?, operators),
+        Command::Serve(Serve { config, operators }) => {
+            life::serve(life::start::named(config)?, operators)
+        }
         Command::Check(Check { config, operators }) => {
             let start = life::start::read(&life::start::named(config)?, operators.as_deref())?;
             let exchange = start.exchange(&start.around()?)?;
             exchange.fits_here(&start.values)?;
-            println!("{}: listens on {}, {} nodes known", start.name, start.listen, exchange.nodes_known());
+            println!(
+                "{}: listens on {}, {} nodes known",
+                start.name,
+                start.listen,
+                exchange.nodes_known()
+            );
             Ok(())
         }
         Command::Config(Config { command }) => config(command),
         Command::Level(Level { command }) => level(command),
-        Command::Verdict(Verdict { command: VerdictCommand::Explain(v) }) => {
+        Command::Verdict(Verdict {
+            command: VerdictCommand::Explain(v),
+        }) => {
             let text = std::fs::read_to_string(&v.record);
-            let text = text.map_err(|e| format!("{}: could not be read: {e}", v.record.display()))?;
+            let text =
+                text.map_err(|e| format!("{}: could not be read: {e}", v.record.display()))?;
             print!("{}", explain::record(&text, v.build, v.json)?);
             Ok(())
         }
@@ -339,7 +349,14 @@
 
 /// Prints an answer, in words or as it came.
 fn tell(answer: &serde_json::Value, json: bool, words: impl FnOnce(&serde_json::Value) -> String) {
-    print!("{}", if json { format!("{answer}\n") } else { words(answer) });
+    print!(
+        "{}",
+        if json {
+            format!("{answer}\n")
+        } else {
+            words(answer)
+        }
+    );
 }
 
 fn config(command: ConfigCommand) -> Result<(), String> {
@@ -349,37 +366,60 @@
         }
         ConfigCommand::Explain(ConfigExplain { name }) => {
             let text = magpieline_operator_config::Schema::own().explain(&name);
-            println!("{}", text.ok_or_else(|| format!("{name}: expected a name of the operators' file"))?);
+            println!(
+                "{}",
+                text.ok_or_else(|| format!("{name}: expected a name of the operators' file"))?
+            );
         }
         ConfigCommand::Diff(ConfigDiff { file, socket }) => {
             let (after, mut talk) = (life::start::operators(&file)?, talk(socket)?);
-            let running = talk.call(&Call::Status)?["running"]["number"].as_u64().unwrap_or_default();
+            let running = talk.call(&Call::Status)?["running"]["number"]
+                .as_u64()
+                .unwrap_or_default();
             let text = talk.call(&Call::Text { number: running })?;
-            let before =
-                magpieline_operator_config::Schema::own().check(text["text"].as_str().unwrap_or_default());
+            let before = magpieline_operator_config::Schema::own()
+                .check(text["text"].as_str().unwrap_or_default());
             print!("{}", hands::difference(&before.unwrap_or_default(), &after));
         }
-        ConfigCommand::Stage(ConfigStage { file, why, socket, json }) => {
+        ConfigCommand::Stage(ConfigStage {
+            file,
+            why,
+            socket,
+            json,
+        }) => {
             let text = std::fs::read_to_string(&file);
             let text = text.map_err(|e| format!("{}: could not be read: {e}", file.display()))?;
             let answer = talk(socket)?.call(&Call::Stage { text, why })?;
-            tell(&answer, json, |a| format!("version {} is staged\n", a["number"]));
+            tell(&answer, json, |a| {
+                format!("version {} is staged\n", a["number"])
+            });
         }
-        ConfigCommand::Apply(ConfigApply { number, wait, socket, json }) => {
+        ConfigCommand::Apply(ConfigApply {
+            number,
+            wait,
+            socket,
+            json,
+        }) => {
             let mut talk = talk(socket)?;
             let answer = talk.call(&Call::Apply { number })?;
-            tell(&answer, json, |a| format!("version {} holds and is watched\n", a["number"]));
+            tell(&answer, json, |a| {
+                format!("version {} holds and is watched\n", a["number"])
+            });
             if wait && !talk.wait(number)? {
                 return Err(format!("version {number} was undone"));
             }
         }
         ConfigCommand::Keep(ConfigKeep { why, socket, json }) => {
             let answer = talk(socket)?.call(&Call::Keep { why })?;
-            tell(&answer, json, |a| format!("version {} is kept\n", a["number"]));
+            tell(&answer, json, |a| {
+                format!("version {} is kept\n", a["number"])
+            });
         }
         ConfigCommand::Undo(ConfigUndo { why, socket, json }) => {
             let answer = talk(socket)?.call(&Call::Undo { why })?;
-            tell(&answer, json, |a| format!("version {} is undone\n", a["number"]));
+            tell(&answer, json, |a| {
+                format!("version {} is undone\n", a["number"])
+            });
         }
         ConfigCommand::Status(ConfigStatus { socket, json }) => {
             tell(&talk(socket)?.call(&Call::Status)?, json, hands::status);
@@ -401,8 +441,15 @@
             let answer = talk(socket)?.call(&Call::Levels)?;
             tell(&answer["changes"], json, hands::levels);
         }
-        LevelCommand::Hold(LevelHold { level, time, socket }) => {
-            talk(socket)?.call(&Call::HoldLevel { level: level.clone(), seconds: time })?;
+        LevelCommand::Hold(LevelHold {
+            level,
+            time,
+            socket,
+        }) => {
+            talk(socket)?.call(&Call::HoldLevel {
+                level: level.clone(),
+                seconds: time,
+            })?;
             println!("level {level} is held for {time} s");
         }
         LevelCommand::Release(LevelRelease { socket }) => {
@@ -418,7 +465,9 @@
 
 /// The command line. Help and wrong use end the program here.
 fn command_line() -> Result<CommandLine, ExitCode> {
-    let words: Vec<String> = std::env::args_os().map(|a| a.to_string_lossy().into_owned()).collect();
+    let words: Vec<String> = std::env::args_os()
+        .map(|a| a.to_string_lossy().into_owned())
+        .collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let rest = words.get(1..).unwrap_or_default();
     CommandLine::from_args(&["magpieline"], rest).map_err(|early| match early.status {
@@ -427,7 +476,10 @@
             ExitCode::SUCCESS
         }
         Err(()) => {
-            eprintln!("{}\nRun magpieline --help for more information.", early.output);
+            eprintln!(
+                "{}\nRun magpieline --help for more information.",
+                early.output
+            );
             ExitCode::from(WRONG_USE)
         }
     })
--- a/crates/sidecar/src/testing.rs
+++ b/crates/sidecar/src/testing.rs
@@ -33,13 +33,19 @@
 /// The same within so many seconds: where much is sent, a busy machine takes longer.
 pub fn run_within<F: Future>(seconds: u64, test: F) -> F::Output {
     let timed = async { tokio::time::timeout(Duration::from_secs(seconds), test).await };
-    actix_rt::System::new().block_on(timed).expect("a test ends in time")
+    actix_rt::System::new()
+        .block_on(timed)
+        .expect("a test ends in time")
 }
 
 /// Partners at addresses where nobody is.
 pub fn around() -> Rc<Around> {
     let info = serde_json::from_str(SETTINGS).expect("settings");
-    Rc::new(Around::new("127.0.0.1:1".into(), "127.0.0.1:1".into(), &info))
+    Rc::new(Around::new(
+        "127.0.0.1:1".into(),
+        "127.0.0.1:1".into(),
+        &info,
+    ))
 }
 
 pub fn exchange() -> Rc<Exchange> {
@@ -56,15 +62,32 @@
 /// An exchange that knows these nodes.
 pub fn exchange_of(nodes: &[SocketAddr]) -> Rc<Exchange> {
     let exchange = exchange();
-    exchange.listed(true, true, nodes.iter().map(|address| entry(*address, 0)).collect());
+    exchange.listed(
+        true,
+        true,
+        nodes.iter().map(|address| entry(*address, 0)).collect(),
+    );
     exchange
 }
 
 /// The line of an open node that speaks this protocol.
 pub fn entry(address: SocketAddr, speaks: u8) -> Entry {
-    let listed =
-        Listed { node: 0, open: true, build: 1, zone: 0, cell: 0, rating: 1.0, up_since: 0.0, speaks };
-    Entry { uid: address.to_string(), listed, address, gone: false }
+    let listed = Listed {
+        node: 0,
+        open: true,
+        build: 1,
+        zone: 0,
+        cell: 0,
+        rating: 1.0,
+        up_since: 0.0,
+        speaks,
+    };
+    Entry {
+        uid: address.to_string(),
+        listed,
+        address,
+        gone: false,
+    }
 }
 
 /// Listens on loopback and plays the script on each connection.
@@ -106,8 +129,12 @@
             }
             continue;
         };
-        let length =
-            head.lines().find_map(|l| l.to_lowercase().strip_prefix("content-length: ")?.parse().ok());
+        let length = head.lines().find_map(|l| {
+            l.to_lowercase()
+                .strip_prefix("content-length: ")?
+                .parse()
+                .ok()
+        });
         if n == 0 || body.len() >= length.unwrap_or(0) {
             return read;
         }
@@ -130,16 +157,22 @@
 
 /// An address at which nothing listens.
 pub async fn nobody() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").await.and_then(|l| l.local_addr()).expect("an address")
+    TcpListener::bind("127.0.0.1:0")
+        .await
+        .and_then(|l| l.local_addr())
+        .expect("an address")
 }
 
 /// An address at which connections never come up: its queue is full and nobody accepts. Both are to be held.
 pub async fn full() -> (SocketAddr, TcpListener, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().expect("a socket");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bound");
+    socket
+        .bind("127.0.0.1:0".parse().expect("an address"))
+        .expect("bound");
     let listener = socket.listen(1).expect("a listener");
     let (address, mut held) = (listener.local_addr().expect("an address"), Vec::new());
-    while let Ok(stream) = tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(address)).await
+    while let Ok(stream) =
+        tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(address)).await
     {
         held.push(stream.expect("connected"));
     }
--- a/crates/sidecar/src/wire/clients.rs
+++ b/crates/sidecar/src/wire/clients.rs
@@ -29,11 +29,18 @@
     let mut arrival = door::arrival(exchange, request.head())?;
     let body = match whole(request.take_payload(), BODY_MOST).await {
         Ok(body) => body,
-        Err(Unread::TooLarge) => return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n")),
-        Err(Unread::Broken(e)) => return Err(plain(StatusCode::BAD_REQUEST, format!("body: {e}\n"))),
+        Err(Unread::TooLarge) => {
+            return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n"))
+        }
+        Err(Unread::Broken(e)) => {
+            return Err(plain(StatusCode::BAD_REQUEST, format!("body: {e}\n")))
+        }
     };
     arrival.remaining -= begun.elapsed().as_secs_f64();
-    let departure = request.conn_data::<Rc<Signal>>().cloned().unwrap_or_default();
+    let departure = request
+        .conn_data::<Rc<Signal>>()
+        .cloned()
+        .unwrap_or_default();
     let head = request.head();
     let Some(target) = head.uri.path_and_query().cloned() else {
         return Err(plain(StatusCode::BAD_REQUEST, "expected a path\n"));
@@ -45,8 +52,19 @@
         }
     }
     let id = hash(passed.get(headers::TXN).map_or(b"", |v| v.as_bytes()));
-    let head = Head { method: head.method.clone(), target, headers: passed };
-    let Some(mut ticket) = exchange.take(arrival, Load { id, head: Box::new(head), body }) else {
+    let head = Head {
+        method: head.method.clone(),
+        target,
+        headers: passed,
+    };
+    let Some(mut ticket) = exchange.take(
+        arrival,
+        Load {
+            id,
+            head: Box::new(head),
+            body,
+        },
+    ) else {
         return Err(plain(StatusCode::CONFLICT, "a hit in hand bears this id\n"));
     };
     visit.brought();
@@ -99,7 +117,9 @@
     };
     visit.wait();
     if exchange.stopping() || crowd.over(exchange.clients_bound(&crowd)) {
-        response.head_mut().set_connection_type(actix_http::ConnectionType::Close);
+        response
+            .head_mut()
+            .set_connection_type(actix_http::ConnectionType::Close);
     }
     Ok(response)
 }
@@ -134,7 +154,9 @@
         .on_connect_ext(|line: &Line, data| {
             data.insert(line.departure.clone());
         })
-        .h1(fn_service(move |request| respond(own.clone(), others.clone(), asked.clone(), request)));
+        .h1(fn_service(move |request| {
+            respond(own.clone(), others.clone(), asked.clone(), request)
+        }));
     let serving = async {
         if let Ok(handler) = service.new_service(()).await {
             if let Err(e) = handler.call((line, None)).await {
@@ -158,7 +180,8 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::TcpStream;
 
-    const SERVED: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/odd\r\ncontent-length: 4\r\n\r\nbody";
+    const SERVED: &str =
+        "HTTP/1.1 200 OK\r\ncontent-type: text/odd\r\ncontent-length: 4\r\n\r\nbody";
     const HIT: &str = "GET /read/x HTTP/1.1\r\nhost: a\r\nx-txn: 1\r\nx-remaining-ms: 400\r\n\r\n";
 
     /// Opens a connection to a front over these nodes.
@@ -197,13 +220,28 @@
             let exchange = exchange_of(&[server(|_| async { panic!("reached a node") }).await]);
             let head = "POST /pay HTTP/1.1\r\nhost: a\r\nx-txn: 1\r\nx-remaining-ms: 400\r\n";
             let with = |more: &str| format!("{head}{more}\r\n\r\n0123456789");
-            let large = format!("{head}transfer-encoding: chunked\r\n\r\n10001\r\n{}", "a".repeat(65537));
+            let large = format!(
+                "{head}transfer-encoding: chunked\r\n\r\n10001\r\n{}",
+                "a".repeat(65537)
+            );
             for (text, status) in [
-                ("GET /other/x HTTP/1.1\r\nhost: a\r\nx-remaining-ms: 400\r\n\r\n", "404"),
+                (
+                    "GET /other/x HTTP/1.1\r\nhost: a\r\nx-remaining-ms: 400\r\n\r\n",
+                    "404",
+                ),
                 ("GET /read/x HTTP/1.1\r\nhost: a\r\n\r\n", "400"),
-                ("GET /read/x HTTP/1.1\r\nhost: a\r\nx-remaining-ms: soon\r\n\r\n", "400"),
-                ("GET /read/x HTTP/1.1\r\nhost: a\r\nx-remaining-ms: 1e300\r\n\r\n", "400"),
-                ("PUT /read/x HTTP/1.1\r\nhost: a\r\nx-remaining-ms: 400\r\n\r\n", "405"),
+                (
+                    "GET /read/x HTTP/1.1\r\nhost: a\r\nx-remaining-ms: soon\r\n\r\n",
+                    "400",
+                ),
+                (
+                    "GET /read/x HTTP/1.1\r\nhost: a\r\nx-remaining-ms: 1e300\r\n\r\n",
+                    "400",
+                ),
+                (
+                    "PUT /read/x HTTP/1.1\r\nhost: a\r\nx-remaining-ms: 400\r\n\r\n",
+                    "405",
+                ),
                 (&large, "413"),
                 (&with("content-length: 62914560"), "413"),
                 (&with("content-length: -1"), "400"),
@@ -211,13 +249,19 @@
                 (&with("content-length: 99999999999999999999"), "400"),
                 (&with("content-length: 10\r\ncontent-length: 10"), "400"),
                 (&with("content-length: 10, 10"), "400"),
-                (&with("content-length: 10\r\ntransfer-encoding: chunked"), "400"),
+                (
+                    &with("content-length: 10\r\ntransfer-encoding: chunked"),
+                    "400",
+                ),
                 (&with("transfer-encoding: gzip, chunked"), "400"),
                 (&with("transfer-encoding : chunked"), "400"),
                 ("what is this\r\n\r\n", "400"),
             ] {
                 let answer = asked(&mut opened(&exchange).await, text).await;
-                assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{text:.60}: {answer}");
+                assert!(
+                    answer.starts_with(&format!("HTTP/1.1 {status} ")),
+                    "{text:.60}: {answer}"
+                );
             }
             assert!(exchange.idle());
         });
@@ -253,8 +297,16 @@
     fn answers_are_worded_by_kind() {
         let bounced = worded(Answer::Bounced { again_after: 0.05 });
         assert_eq!(bounced.status(), StatusCode::SERVICE_UNAVAILABLE);
-        assert_eq!(bounced.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok()), Some("0.050"));
-        assert!(!worded(Answer::Bounced { again_after: 0.0 }).headers().contains_key(RETRY_AFTER));
+        assert_eq!(
+            bounced
+                .headers()
+                .get(RETRY_AFTER)
+                .and_then(|v| v.to_str().ok()),
+            Some("0.050")
+        );
+        assert!(!worded(Answer::Bounced { again_after: 0.0 })
+            .headers()
+            .contains_key(RETRY_AFTER));
         assert_eq!(worded(Answer::Failed).status(), StatusCode::BAD_GATEWAY);
     }
 
@@ -268,7 +320,11 @@
             let begun = Instant::now();
             let answer = asked(&mut stream, &HIT.replace("GET /read", "POST /pay")).await;
             assert!(answer.starts_with("HTTP/1.1 5"), "{answer}");
-            assert!(begun.elapsed() < Duration::from_millis(450), "{:?}", begun.elapsed());
+            assert!(
+                begun.elapsed() < Duration::from_millis(450),
+                "{:?}",
+                begun.elapsed()
+            );
             assert!(exchange.idle());
         });
     }
@@ -332,8 +388,14 @@
             exchange.closing.give();
             let mut answer = String::new();
             write(&mut stream, HIT).await;
-            stream.read_to_string(&mut answer).await.expect("an answer and the end");
-            assert!(answer.contains("connection: close\r\n") && answer.ends_with("body"), "{answer}");
+            stream
+                .read_to_string(&mut answer)
+                .await
+                .expect("an answer and the end");
+            assert!(
+                answer.contains("connection: close\r\n") && answer.ends_with("body"),
+                "{answer}"
+            );
         });
     }
 
@@ -367,12 +429,21 @@
             };
             let pay = "POST /pay HTTP/1.1\r\nhost: a\r\nx-txn: 5\r\nx-remaining-ms: 400\r\n\
                 content-length: 999\r\n\r\n";
-            let all = [("", false), ("GET /re", false), ("GET /re", true), (pay, true)];
+            let all = [
+                ("", false),
+                ("GET /re", false),
+                ("GET /re", true),
+                (pay, true),
+            ];
             let all = futures_util::future::join_all(all.map(|(text, drops)| closed(text, drops)));
             let wait = HIT.replace("400", "4000").replace("GET /read", "POST /pay");
             let served = async { asked(&mut opened(&exchange).await, &wait).await };
             let (all, served) = futures_util::future::join(all, served).await;
-            assert!(all.iter().all(|t| t.as_secs_f64() > 1.9 && t.as_secs_f64() < 2.9), "{all:?}");
+            assert!(
+                all.iter()
+                    .all(|t| t.as_secs_f64() > 1.9 && t.as_secs_f64() < 2.9),
+                "{all:?}"
+            );
             assert!(served.ends_with("body"), "{served}");
         });
     }
@@ -411,7 +482,9 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             assert!(crowd.len() <= 2);
             // A newcomer is served once one of those that stay has been idle for a while.
-            let mut late = TcpStream::connect(address).await.expect("in the kernel's queue");
+            let mut late = TcpStream::connect(address)
+                .await
+                .expect("in the kernel's queue");
             let answer = asked(&mut late, &HIT.replace("x-txn: 1", "x-txn: 9")).await;
             assert!(answer.ends_with("body"), "{answer}");
         });
--- a/crates/sidecar/src/wire/door.rs
+++ b/crates/sidecar/src/wire/door.rs
@@ -22,9 +22,17 @@
 /// A header that is there once at most, as text that is not empty.
 fn word<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Response<BoxBody>> {
     let mut values = headers.get_all(name);
-    let (Some(value), more) = (values.next(), values.next()) else { return Ok(None) };
-    let text = value.to_str().ok().map(str::trim).filter(|t| !t.is_empty() && t.len() <= WORD_MOST);
-    text.filter(|_| more.is_none()).map(Some).ok_or_else(|| bad(format!("{name}: expected one word\n")))
+    let (Some(value), more) = (values.next(), values.next()) else {
+        return Ok(None);
+    };
+    let text = value
+        .to_str()
+        .ok()
+        .map(str::trim)
+        .filter(|t| !t.is_empty() && t.len() <= WORD_MOST);
+    text.filter(|_| more.is_none())
+        .map(Some)
+        .ok_or_else(|| bad(format!("{name}: expected one word\n")))
 }
 
 fn needed<'a>(headers: &'a HeaderMap, name: &str) -> Result<&'a str, Response<BoxBody>> {
@@ -34,12 +42,21 @@
 /// A figure that helps where it can be read.
 fn figure(headers: &HeaderMap, name: &str) -> Option<f64> {
     let text = headers.get(name)?.to_str().ok()?;
-    text.trim().parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0)
+    text.trim()
+        .parse::<f64>()
+        .ok()
+        .filter(|n| n.is_finite() && *n >= 0.0)
 }
 
 /// Reads a hit's head; what has to be an error otherwise.
 pub fn arrival(exchange: &Exchange, head: &RequestHead) -> Result<Arrival, Response<BoxBody>> {
-    let first = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or("");
+    let first = head
+        .uri
+        .path()
+        .trim_start_matches('/')
+        .split('/')
+        .next()
+        .unwrap_or("");
     let Some(group) = exchange.group(first) else {
         return Err(plain(StatusCode::NOT_FOUND, "no such path group\n"));
     };
@@ -50,16 +67,25 @@
         _ => head.method == Method::POST && !tagged,
     };
     if !fits {
-        return Err(plain(StatusCode::METHOD_NOT_ALLOWED, "not the method of this path group\n"));
+        return Err(plain(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "not the method of this path group\n",
+        ));
     }
     needed(&head.headers, headers::TXN)?;
     // Whole milliseconds, as the protocol says: a figure beyond all time would be no time-out at all.
     let remaining = needed(&head.headers, headers::REMAINING)?;
     let digits = remaining.bytes().all(|b| b.is_ascii_digit());
     let Some(remaining) = remaining.parse::<u32>().ok().filter(|_| digits) else {
-        return Err(bad(format!("{}: expected whole milliseconds\n", headers::REMAINING)));
+        return Err(bad(format!(
+            "{}: expected whole milliseconds\n",
+            headers::REMAINING
+        )));
     };
-    let length = head.headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.trim().parse::<u64>().ok());
+    let length = head
+        .headers
+        .get(CONTENT_LENGTH)
+        .and_then(|v| v.to_str().ok()?.trim().parse::<u64>().ok());
     if length.is_some_and(|l| l > BODY_MOST as u64) {
         return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n"));
     }
@@ -93,25 +119,63 @@
 
     #[test]
     fn only_what_fits_its_path_group_comes_in() {
-        let good = [("x-txn", "a1"), ("x-remaining-ms", "400"), ("x-entity", "e")];
+        let good = [
+            ("x-txn", "a1"),
+            ("x-remaining-ms", "400"),
+            ("x-entity", "e"),
+        ];
         let with = |more| [&good[..], &[more]].concat();
         assert_eq!(status(Method::GET, "/read/x", &good), 200);
-        assert_eq!(status(Method::POST, "/pay", &with(("content-length", "10"))), 200);
-        assert_eq!(status(Method::POST, "/book", &with(("idempotency-key", "k"))), 200);
+        assert_eq!(
+            status(Method::POST, "/pay", &with(("content-length", "10"))),
+            200
+        );
+        assert_eq!(
+            status(Method::POST, "/book", &with(("idempotency-key", "k"))),
+            200
+        );
         assert_eq!(status(Method::GET, "/other", &good), 404);
         assert_eq!(status(Method::POST, "/read", &good), 405);
         assert_eq!(status(Method::HEAD, "/read", &good), 405);
         assert_eq!(status(Method::GET, "/pay", &good), 405);
         assert_eq!(status(Method::POST, "/book", &good), 405);
-        assert_eq!(status(Method::POST, "/pay", &with(("idempotency-key", "k"))), 405);
-        assert_eq!(status(Method::POST, "/pay", &with(("content-length", "65537"))), 413);
-        for more in [("x-txn", "a2"), ("x-entity", "f"), ("x-remaining-ms", "400"), ("content-length", "3")] {
+        assert_eq!(
+            status(Method::POST, "/pay", &with(("idempotency-key", "k"))),
+            405
+        );
+        assert_eq!(
+            status(Method::POST, "/pay", &with(("content-length", "65537"))),
+            413
+        );
+        for more in [
+            ("x-txn", "a2"),
+            ("x-entity", "f"),
+            ("x-remaining-ms", "400"),
+            ("content-length", "3"),
+        ] {
             assert_eq!(status(Method::GET, "/read", &with(more)), 400, "{more:?}");
         }
         for remaining in ["", "soon", "-5", "+5", "1e3", "99999999999"] {
-            assert_eq!(status(Method::GET, "/read", &[("x-txn", "a1"), ("x-remaining-ms", remaining)]), 400);
+            assert_eq!(
+                status(
+                    Method::GET,
+                    "/read",
+                    &[("x-txn", "a1"), ("x-remaining-ms", remaining)]
+                ),
+                400
+            );
         }
-        assert_eq!(status(Method::GET, "/read", &[("x-remaining-ms", "400")]), 400);
-        assert_eq!(status(Method::GET, "/read", &[("x-txn", " "), ("x-remaining-ms", "400")]), 400);
+        assert_eq!(
+            status(Method::GET, "/read", &[("x-remaining-ms", "400")]),
+            400
+        );
+        assert_eq!(
+            status(
+                Method::GET,
+                "/read",
+                &[("x-txn", " "), ("x-remaining-ms", "400")]
+            ),
+            400
+        );
     }
 }
--- a/crates/sidecar/src/wire/framing.rs
+++ b/crates/sidecar/src/wire/framing.rs
@@ -43,21 +43,40 @@
     };
     let code = answer.code.unwrap_or(0);
     if (100..200).contains(&code) {
-        return if code == 101 { Err(Spoilt::Unreadable) } else { Ok(Come::Interim(head)) };
+        return if code == 101 {
+            Err(Spoilt::Unreadable)
+        } else {
+            Ok(Come::Interim(head))
+        };
     }
     let values = |name: &'static str| {
-        answer.headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value.trim_ascii())
+        answer
+            .headers
+            .iter()
+            .filter(move |h| h.name.eq_ignore_ascii_case(name))
+            .map(|h| h.value.trim_ascii())
     };
     let (mut lengths, mut codings) = (values("content-length"), values("transfer-encoding"));
-    match (lengths.next(), lengths.next(), codings.next(), codings.next()) {
+    match (
+        lengths.next(),
+        lengths.next(),
+        codings.next(),
+        codings.next(),
+    ) {
         (Some(length), None, None, None) if length.iter().all(u8::is_ascii_digit) => {
-            let length = std::str::from_utf8(length).ok().and_then(|l| l.parse::<u64>().ok());
+            let length = std::str::from_utf8(length)
+                .ok()
+                .and_then(|l| l.parse::<u64>().ok());
             let length = length.ok_or(Spoilt::Unreadable)?;
             if length > most as u64 {
                 return Err(Spoilt::TooLarge);
             }
             let end = head + length as usize;
-            Ok(if bytes.len() < end { Come::Part } else { Come::Whole(end) })
+            Ok(if bytes.len() < end {
+                Come::Part
+            } else {
+                Come::Whole(end)
+            })
         }
         (None, None, Some(coding), None)
             if coding.eq_ignore_ascii_case(b"chunked") && answer.version == Some(1) =>
@@ -133,7 +152,10 @@
             assert_eq!(measure(more.as_bytes(), MOST), Ok(Come::Whole(text.len())), "{more}");
         }
         let interim = "HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n";
-        assert_eq!(measure(interim.as_bytes(), MOST), Ok(Come::Interim(interim.len())));
+        assert_eq!(
+            measure(interim.as_bytes(), MOST),
+            Ok(Come::Interim(interim.len()))
+        );
     }
 
     #[test]
@@ -142,20 +164,44 @@
         for (text, why) in [
             ("what is this\r\n".to_owned(), Spoilt::Unreadable),
             ("\u{1}\u{2}\u{3}".to_owned(), Spoilt::Unreadable),
-            ("HTTP/1.1 101 Switch\r\nupgrade: x\r\n\r\n".to_owned(), Spoilt::Unreadable),
+            (
+                "HTTP/1.1 101 Switch\r\nupgrade: x\r\n\r\n".to_owned(),
+                Spoilt::Unreadable,
+            ),
             (answer("x: y"), Spoilt::Unreadable),
             (answer("content-length: -4"), Spoilt::Unreadable),
             (answer("content-length: +4"), Spoilt::Unreadable),
             (answer("content-length: 4, 4"), Spoilt::Unreadable),
-            (answer("content-length: 4\r\ncontent-length: 4"), Spoilt::Unreadable),
-            (answer("content-length: 4\r\ntransfer-encoding: chunked"), Spoilt::Unreadable),
+            (
+                answer("content-length: 4\r\ncontent-length: 4"),
+                Spoilt::Unreadable,
+            ),
+            (
+                answer("content-length: 4\r\ntransfer-encoding: chunked"),
+                Spoilt::Unreadable,
+            ),
             (answer("transfer-encoding: gzip"), Spoilt::Unreadable),
             (answer("content-length: 3221225472"), Spoilt::TooLarge),
-            (answer("transfer-encoding: chunked") + "ffff\r\n", Spoilt::TooLarge),
-            (answer("transfer-encoding: chunked") + "ffffffffffffffff\r\n", Spoilt::TooLarge),
-            (answer("transfer-encoding: chunked") + "odd\r\n", Spoilt::Unreadable),
-            (answer("transfer-encoding: chunked") + "1\r\nabc", Spoilt::Unreadable),
-            (format!("HTTP/1.1 200 OK\r\nx: {}", "a".repeat(HEAD_MOST)), Spoilt::TooLarge),
+            (
+                answer("transfer-encoding: chunked") + "ffff\r\n",
+                Spoilt::TooLarge,
+            ),
+            (
+                answer("transfer-encoding: chunked") + "ffffffffffffffff\r\n",
+                Spoilt::TooLarge,
+            ),
+            (
+                answer("transfer-encoding: chunked") + "odd\r\n",
+                Spoilt::Unreadable,
+            ),
+            (
+                answer("transfer-encoding: chunked") + "1\r\nabc",
+                Spoilt::Unreadable,
+            ),
+            (
+                format!("HTTP/1.1 200 OK\r\nx: {}", "a".repeat(HEAD_MOST)),
+                Spoilt::TooLarge,
+            ),
         ] {
             assert_eq!(measure(text.as_bytes(), MOST), Err(why), "{text:.60}");
         }
--- a/crates/sidecar/src/wire/line.rs
+++ b/crates/sidecar/src/wire/line.rs
@@ -67,7 +67,14 @@
 
 impl Answers {
     fn new(most: usize) -> Answers {
-        Answers { most, bytes: BytesMut::new(), whole: 0, asked: false, over: false, patience: None }
+        Answers {
+            most,
+            bytes: BytesMut::new(),
+            whole: 0,
+            asked: false,
+            over: false,
+            patience: None,
+        }
     }
 
     /// Looks at what has come; an interim answer is dropped.
@@ -89,7 +96,10 @@
     fn spoilt(&mut self, why: Spoilt) -> Poll<io::Result<()>> {
         (self.over, self.bytes) = (true, BytesMut::new());
         let _ = TRACE.try_with(|t| t.spoilt.set(Some(why))); // list and platform have none
-        Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, format!("an answer that is {why:?}"))))
+        Poll::Ready(Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            format!("an answer that is {why:?}"),
+        )))
     }
 
     fn poll(
@@ -124,7 +134,9 @@
                 Poll::Ready(Err(e)) => return Poll::Ready(Err(e)),
                 Poll::Pending if self.bytes.is_empty() => return Poll::Pending,
                 Poll::Pending => {
-                    let patience = self.patience.get_or_insert_with(|| Box::pin(tokio::time::sleep(REST)));
+                    let patience = self
+                        .patience
+                        .get_or_insert_with(|| Box::pin(tokio::time::sleep(REST)));
                     if patience.as_mut().poll(cx).is_ready() {
                         return self.spoilt(Spoilt::Unreadable);
                     }
@@ -152,7 +164,12 @@
         if let Err(e) = stream.set_nodelay(true) {
             log::debug!("no delay: {e}");
         }
-        Line { stream, departure: Rc::default(), heard: Rc::default(), answers: None }
+        Line {
+            stream,
+            departure: Rc::default(),
+            heard: Rc::default(),
+            answers: None,
+        }
     }
 }
 
@@ -196,13 +213,18 @@
             t.begun.set(true);
             // An idle connection on which something had come, and that was left alone, has set it.
             t.spoilt.set(None);
-            t.short.set(!matches!(written, Poll::Ready(Ok(n)) if *n == offered));
+            t.short
+                .set(!matches!(written, Poll::Ready(Ok(n)) if *n == offered));
         });
     }
 }
 
 impl AsyncWrite for Line {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.answers.iter_mut().for_each(|a| a.asked = true);
         Line::note_write(&written, buf.len());
@@ -233,17 +255,30 @@
 /// adds no headers, sets no time-outs of its own but for the connect, and drops connections that have been
 /// idle too long when it would next use them.
 pub fn client(connect: Duration, idle: Duration, most: Option<usize>) -> Client {
-    let lines = Connector::new(Resolver::default()).service().map(move |made: Connection<Uri, TcpStream>| {
-        let (stream, uri) = made.into_parts();
-        Connection::new(uri, Line { answers: most.map(Answers::new), ..Line::new(stream) })
-    });
+    let lines = Connector::new(Resolver::default()).service().map(
+        move |made: Connection<Uri, TcpStream>| {
+            let (stream, uri) = made.into_parts();
+            Connection::new(
+                uri,
+                Line {
+                    answers: most.map(Answers::new),
+                    ..Line::new(stream)
+                },
+            )
+        },
+    );
     let connector = awc::Connector::new()
         .connector(lines)
         .limit(0) // what is forwarded is the decisions' choice
         .timeout(connect)
         .conn_keep_alive(idle)
         .conn_lifetime(Duration::MAX); // a connection in use does not age
-    Client::builder().connector(connector).disable_timeout().disable_redirects().no_default_headers().finish()
+    Client::builder()
+        .connector(connector)
+        .disable_timeout()
+        .disable_redirects()
+        .no_default_headers()
+        .finish()
 }
 
 /// Whether anything of the call being polled was offered for writing.
--- a/crates/sidecar/src/wire/list.rs
+++ b/crates/sidecar/src/wire/list.rs
@@ -26,10 +26,19 @@
 
 /// Takes a list in: from the configuration (`fresh` is false) or from discovery. Answers its revision.
 pub fn take(exchange: &Exchange, list: &Json, fresh: bool) -> Result<u64, String> {
-    let list = Message { name: "list", body: list };
+    let list = Message {
+        name: "list",
+        body: list,
+    };
     let mut lines = Vec::new();
     for body in list.list("targets")? {
-        lines.push(entry(exchange, Message { name: "list: targets", body })?);
+        lines.push(entry(
+            exchange,
+            Message {
+                name: "list: targets",
+                body,
+            },
+        )?);
     }
     let rev = list.whole("rev")?;
     exchange.listed(list.mark("all")?, fresh, lines);
@@ -60,7 +69,12 @@
             Some(_) => return wrong("speaks", "http or resp"),
         },
     };
-    Ok(Entry { uid: entry.text("uid")?.to_owned(), listed, address, gone: state == "gone" })
+    Ok(Entry {
+        uid: entry.text("uid")?.to_owned(),
+        listed,
+        address,
+        gone: state == "gone",
+    })
 }
 
 /// Asks once; `patience` is how long an answer may take.
@@ -71,10 +85,14 @@
         if answer.status().as_u16() != 200 {
             return Err(format!("answered {}", answer.status()));
         }
-        let body = whole(&mut answer, LIST_MOST).await.map_err(|e| format!("{e:?}"))?;
+        let body = whole(&mut answer, LIST_MOST)
+            .await
+            .map_err(|e| format!("{e:?}"))?;
         serde_json::from_slice(&body).map_err(|e| format!("expected JSON: {e}"))
     };
-    tokio::time::timeout(patience, asked).await.unwrap_or_else(|_| Err("no answer".into()))
+    tokio::time::timeout(patience, asked)
+        .await
+        .unwrap_or_else(|_| Err("no answer".into()))
 }
 
 /// Asks for what is new and watches that until it fails. Where lists are pushed the own machine holds the whole of it
@@ -82,10 +100,19 @@
 /// what they ask for has its price: `held`, the revision that this agent has, is gone on from.
 async fn watch(exchange: &Exchange, at: &str, held: &Cell<Option<u64>>) -> String {
     let client = line::client(SLACK, IDLE, Some(LIST_MOST));
-    let (mut rev, mut patience) = if exchange.pushed() { (None, SLACK) } else { (held.get(), WAIT + SLACK) };
+    let (mut rev, mut patience) = if exchange.pushed() {
+        (None, SLACK)
+    } else {
+        (held.get(), WAIT + SLACK)
+    };
     loop {
-        let query = rev.map_or(String::new(), |r: u64| format!("?after={r}&wait_ms={}", WAIT.as_millis()));
-        match call(&client, at, &query, patience).await.and_then(|list| take(exchange, &list, true)) {
+        let query = rev.map_or(String::new(), |r: u64| {
+            format!("?after={r}&wait_ms={}", WAIT.as_millis())
+        });
+        match call(&client, at, &query, patience)
+            .await
+            .and_then(|list| take(exchange, &list, true))
+        {
             Ok(new) => (rev, patience) = (Some(new), WAIT + SLACK),
             Err(e) => return e,
         }
@@ -136,8 +163,16 @@
     async fn try_node(exchange: &Exchange, uid: &str) {
         let headers = awc::http::header::HeaderMap::new();
         let target = http::uri::PathAndQuery::from_static("/read");
-        let head = Box::new(Head { method: http::Method::GET, target, headers });
-        let load = Rc::new(Load { id: 1, head, body: Default::default() });
+        let head = Box::new(Head {
+            method: http::Method::GET,
+            target,
+            headers,
+        });
+        let load = Rc::new(Load {
+            id: 1,
+            head,
+            body: Default::default(),
+        });
         let end = exchange.way(uid).expect("a node").forward(load, WAIT).await;
         assert!(matches!(end, End::Answered { .. }), "{end:?}");
     }
@@ -164,14 +199,19 @@
         run(async {
             let (at, made) = counted(|mut stream| async move {
                 while !message(&mut stream).await.is_empty() {
-                    write(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").await;
+                    write(
+                        &mut stream,
+                        "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok",
+                    )
+                    .await;
                 }
             })
             .await;
             let (exchange, at) = (exchange(), at.to_string());
             let told = |build: u32, boot_ms: u32, connections: usize| {
                 let mut body = list(false, &[("a", &at, "ready")]);
-                (body["targets"][0]["build"], body["targets"][0]["boot_ms"]) = (build.into(), boot_ms.into());
+                (body["targets"][0]["build"], body["targets"][0]["boot_ms"]) =
+                    (build.into(), boot_ms.into());
                 assert_eq!(take(&exchange, &body, true), Ok(7));
                 let (exchange, made) = (exchange.clone(), made.clone());
                 async move {
@@ -193,10 +233,16 @@
             let exchange = exchange();
             let (a, b) = (("a", "127.0.0.1:1", "ready"), ("b", "here", "ready"));
             let complaint = "list: targets: endpoint: expected an address and a port";
-            assert_eq!(take(&exchange, &list(true, &[a, b]), true), Err(complaint.into()));
+            assert_eq!(
+                take(&exchange, &list(true, &[a, b]), true),
+                Err(complaint.into())
+            );
             let complaint = "list: targets: state: expected ready, draining or gone";
             let odd = ("b", "127.0.0.1:2", "odd");
-            assert_eq!(take(&exchange, &list(true, &[a, odd]), true), Err(complaint.into()));
+            assert_eq!(
+                take(&exchange, &list(true, &[a, odd]), true),
+                Err(complaint.into())
+            );
             assert_eq!((exchange.nodes_known(), exchange.ready()), (0, false));
         });
     }
@@ -214,8 +260,12 @@
                         return;
                     }
                     let text = texts.get(noted.borrow().len());
-                    noted.borrow_mut().push(came.lines().next().unwrap_or("").to_owned());
-                    let Some(text) = text else { return std::future::pending().await };
+                    noted
+                        .borrow_mut()
+                        .push(came.lines().next().unwrap_or("").to_owned());
+                    let Some(text) = text else {
+                        return std::future::pending().await;
+                    };
                     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", text.len());
                     write(&mut stream, &(head + text)).await;
                 }
@@ -235,9 +285,18 @@
             let exchange = exchange();
             let around = around();
             around.discovery.set(&at);
-            let _ = tokio::time::timeout(Duration::from_millis(200), follow(exchange.clone(), around)).await;
+            let _ =
+                tokio::time::timeout(Duration::from_millis(200), follow(exchange.clone(), around))
+                    .await;
             let watch = |rev| format!("GET /discovery/hosts?after={rev}&wait_ms=2000 HTTP/1.1");
-            assert_eq!(*asked.borrow(), ["GET /discovery/hosts HTTP/1.1".to_owned(), watch(7), watch(8)]);
+            assert_eq!(
+                *asked.borrow(),
+                [
+                    "GET /discovery/hosts HTTP/1.1".to_owned(),
+                    watch(7),
+                    watch(8)
+                ]
+            );
             assert!(exchange.ready());
         });
     }
@@ -249,7 +308,11 @@
             let (at, asked) = discovery(&["odd", SEVEN]).await;
             let exchange = exchange();
             let around = around();
-            actix_rt::spawn(exchange.clone().review(Rc::new(crate::wire::platform::Clerk(around.clone()))));
+            actix_rt::spawn(
+                exchange
+                    .clone()
+                    .review(Rc::new(crate::wire::platform::Clerk(around.clone()))),
+            );
             around.discovery.set(&at);
             actix_rt::spawn(follow(exchange.clone(), around));
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -266,10 +329,17 @@
     fn a_shared_list_is_gone_on_with_from_the_revision_held() {
         run(async {
             let (at, asked) = discovery(&["odd", EIGHT]).await;
-            let (exchange, around) = (exchange_told(&SETTINGS.replace("pushed", "on_request")), around());
+            let (exchange, around) = (
+                exchange_told(&SETTINGS.replace("pushed", "on_request")),
+                around(),
+            );
             around.list_held.set(Some(7));
             around.discovery.set(&at);
-            actix_rt::spawn(exchange.clone().review(Rc::new(crate::wire::platform::Clerk(around.clone()))));
+            actix_rt::spawn(
+                exchange
+                    .clone()
+                    .review(Rc::new(crate::wire::platform::Clerk(around.clone()))),
+            );
             actix_rt::spawn(follow(exchange.clone(), around));
             while asked.borrow().len() < 3 {
                 tokio::time::sleep(Duration::from_millis(10)).await;
@@ -287,7 +357,11 @@
             let (at, asked) = discovery(&[]).await;
             let (exchange, around) = (exchange(), around());
             around.discovery.set(&at);
-            actix_rt::spawn(exchange.clone().review(Rc::new(crate::wire::platform::Clerk(around.clone()))));
+            actix_rt::spawn(
+                exchange
+                    .clone()
+                    .review(Rc::new(crate::wire::platform::Clerk(around.clone()))),
+            );
             actix_rt::spawn(follow(exchange, around));
             tokio::time::sleep(Duration::from_millis(2400)).await;
             assert!(asked.borrow().len() >= 2, "{:?}", asked.borrow());
--- a/crates/sidecar/src/wire/mod.rs
+++ b/crates/sidecar/src/wire/mod.rs
@@ -42,5 +42,9 @@
             pieces.extend_from_slice(&piece);
         }
     }
-    Ok(if pieces.is_empty() { body } else { pieces.into() })
+    Ok(if pieces.is_empty() {
+        body
+    } else {
+        pieces.into()
+    })
 }
--- a/crates/sidecar/src/wire/nodes.rs
+++ b/crates/sidecar/src/wire/nodes.rs
@@ -39,7 +39,13 @@
         let Times { connect, idle } = times.get();
         if speaks == magpieline_resp_listener::SPEAKS {
             let spread = seed ^ magpieline_dispatch::hash(address.to_string().as_bytes());
-            return Ok(Rc::new(Pipes::new(address, connect, idle, login.clone(), spread)));
+            return Ok(Rc::new(Pipes::new(
+                address,
+                connect,
+                idle,
+                login.clone(),
+                spread,
+            )));
         }
         Ok(Rc::new(Reach::new(address, connect, idle)?))
     })
@@ -49,7 +55,10 @@
     fn forward(&self, load: Rc<Load>, limit: Duration) -> LocalBoxFuture<'static, End> {
         let own = self.clone();
         Box::pin(async move {
-            match (load.head.downcast_ref::<Head>(), magpieline_ext_proc::call(&load)) {
+            match (
+                load.head.downcast_ref::<Head>(),
+                magpieline_ext_proc::call(&load),
+            ) {
                 (Some(head), _) => own.forward(head, &load.body, limit).await,
                 // The forward is another proxy's.
                 (None, Some(call)) => call.forward(own.address, limit).await,
@@ -70,28 +79,58 @@
 
 impl Reach {
     pub fn new(address: SocketAddr, connect: Duration, idle: Duration) -> Result<Reach, String> {
-        let authority = address.to_string().parse().map_err(|e| format!("{address}: {e}"))?;
-        Ok(Reach { address, authority, client: line::client(connect, idle, Some(BODY_MOST)) })
+        let authority = address
+            .to_string()
+            .parse()
+            .map_err(|e| format!("{address}: {e}"))?;
+        Ok(Reach {
+            address,
+            authority,
+            client: line::client(connect, idle, Some(BODY_MOST)),
+        })
     }
 
     /// Sends a hit and waits for its end, all within `limit`. Dropping this closes the connection.
     pub async fn forward(&self, head: &Head, body: &Bytes, limit: Duration) -> End {
         let sending = tokio::time::timeout(limit, self.send(head, body, limit));
         let (ended, trace) = line::traced(sending).await;
-        ended.unwrap_or(Err(End::Silent)).unwrap_or_else(|end| cut(&trace, end))
+        ended
+            .unwrap_or(Err(End::Silent))
+            .unwrap_or_else(|end| cut(&trace, end))
     }
 
     async fn send(&self, head: &Head, body: &Bytes, limit: Duration) -> Result<End, End> {
-        let uri = Uri::builder().scheme(Scheme::HTTP).authority(self.authority.clone());
-        let uri = uri.path_and_query(head.target.clone()).build().map_err(|_| End::Nowhere)?;
-        let mut call = self.client.request(head.method.clone(), uri).address(self.address).camel_case();
+        let uri = Uri::builder()
+            .scheme(Scheme::HTTP)
+            .authority(self.authority.clone());
+        let uri = uri
+            .path_and_query(head.target.clone())
+            .build()
+            .map_err(|_| End::Nowhere)?;
+        let mut call = self
+            .client
+            .request(head.method.clone(), uri)
+            .address(self.address)
+            .camel_case();
         *call.headers_mut() = head.headers.clone();
-        let call = call.no_decompress().insert_header((headers::REMAINING, limit.as_millis() as u64));
-        let answered = if body.is_empty() { call.send().await } else { call.send_body(body.clone()).await };
+        let call = call
+            .no_decompress()
+            .insert_header((headers::REMAINING, limit.as_millis() as u64));
+        let answered = if body.is_empty() {
+            call.send().await
+        } else {
+            call.send_body(body.clone()).await
+        };
         let mut answer = answered.map_err(failed)?;
         let status = answer.status().as_u16();
-        let turned_away = answer.headers().get(headers::TURNED_AWAY).is_some_and(|v| v.as_bytes() == b"1");
-        let kind = answer.headers().get(CONTENT_TYPE).map(|v| Bytes::copy_from_slice(v.as_bytes()));
+        let turned_away = answer
+            .headers()
+            .get(headers::TURNED_AWAY)
+            .is_some_and(|v| v.as_bytes() == b"1");
+        let kind = answer
+            .headers()
+            .get(CONTENT_TYPE)
+            .map(|v| Bytes::copy_from_slice(v.as_bytes()));
         let whole_body = whole(&mut answer, BODY_MOST).await;
         Ok(match (status, whole_body) {
             (503 | 504, _) if turned_away => End::TurnedAway,
@@ -130,7 +169,9 @@
         _ if trace.short.get() => End::CutBefore,
         _ if trace.spoilt() == Some(Spoilt::Unreadable) => End::Unreadable,
         _ if trace.spoilt() == Some(Spoilt::TooLarge) => End::TooLarge,
-        End::Refused | End::NeverUp | End::NoRoom | End::Nowhere if trace.begun.get() => End::CutAfter,
+        End::Refused | End::NeverUp | End::NoRoom | End::Nowhere if trace.begun.get() => {
+            End::CutAfter
+        }
         End::CutAfter if !trace.begun.get() => End::Refused,
         End::Silent if !trace.begun.get() => End::NeverUp,
         end => end,
@@ -149,9 +190,23 @@
 
     fn parcel(body: &'static str) -> (Head, Bytes) {
         let mut headers = awc::http::header::HeaderMap::new();
-        headers.insert(http::HeaderName::from_static("x-txn"), http::HeaderValue::from_static("a1"));
-        let method = if body.is_empty() { Method::GET } else { Method::POST };
-        (Head { method, target: PathAndQuery::from_static("/read/a%20b?c=d"), headers }, body.into())
+        headers.insert(
+            http::HeaderName::from_static("x-txn"),
+            http::HeaderValue::from_static("a1"),
+        );
+        let method = if body.is_empty() {
+            Method::GET
+        } else {
+            Method::POST
+        };
+        (
+            Head {
+                method,
+                target: PathAndQuery::from_static("/read/a%20b?c=d"),
+                headers,
+            },
+            body.into(),
+        )
     }
 
     impl Reach {
@@ -182,15 +237,28 @@
                 let came = message(&mut stream).await;
                 write(
                     &mut stream,
-                    &format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{came}", came.len()),
+                    &format!(
+                        "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{came}",
+                        came.len()
+                    ),
                 )
                 .await;
             });
-            let end = reach(address.await).sent(&parcel("{ \"a\" : 1}"), LIMIT).await;
-            let End::Answered { body, .. } = end else { panic!("{end:?}") };
+            let end = reach(address.await)
+                .sent(&parcel("{ \"a\" : 1}"), LIMIT)
+                .await;
+            let End::Answered { body, .. } = end else {
+                panic!("{end:?}")
+            };
             let came = String::from_utf8_lossy(&body).into_owned();
-            assert!(came.starts_with("POST /read/a%20b?c=d HTTP/1.1\r\n"), "{came}");
-            assert!(came.contains("X-Txn: a1\r\n") && came.contains("X-Remaining-Ms: 300\r\n"), "{came}");
+            assert!(
+                came.starts_with("POST /read/a%20b?c=d HTTP/1.1\r\n"),
+                "{came}"
+            );
+            assert!(
+                came.contains("X-Txn: a1\r\n") && came.contains("X-Remaining-Ms: 300\r\n"),
+                "{came}"
+            );
             assert!(came.ends_with("\r\n\r\n{ \"a\" : 1}"), "{came}");
         });
     }
@@ -199,10 +267,17 @@
     fn answers_are_told_apart() {
         let whole = ends("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
         assert!(matches!(whole, End::Answered { body, .. } if body == "ok"));
-        assert!(matches!(ends("HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n"), End::Failed));
-        assert!(matches!(ends("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"), End::Failed));
+        assert!(matches!(
+            ends("HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n"),
+            End::Failed
+        ));
+        assert!(matches!(
+            ends("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"),
+            End::Failed
+        ));
         for status in ["503", "504"] {
-            let text = format!("HTTP/1.1 {status} No\r\nX-Turned-Away: 1\r\ncontent-length: 0\r\n\r\n");
+            let text =
+                format!("HTTP/1.1 {status} No\r\nX-Turned-Away: 1\r\ncontent-length: 0\r\n\r\n");
             assert!(matches!(ends(text.leak()), End::TurnedAway));
         }
         assert!(matches!(
@@ -210,40 +285,66 @@
             End::Failed
         ));
         // The library follows no redirect and unpacks nothing.
-        assert!(matches!(ends("HTTP/1.1 302 Go\r\nlocation: /\r\ncontent-length: 0\r\n\r\n"), End::Failed));
-        let packed = ends("HTTP/1.1 200 OK\r\ncontent-encoding: gzip\r\ncontent-length: 3\r\n\r\nabc");
+        assert!(matches!(
+            ends("HTTP/1.1 302 Go\r\nlocation: /\r\ncontent-length: 0\r\n\r\n"),
+            End::Failed
+        ));
+        let packed =
+            ends("HTTP/1.1 200 OK\r\ncontent-encoding: gzip\r\ncontent-length: 3\r\n\r\nabc");
         assert!(matches!(packed, End::Answered { body, .. } if body == "abc"));
     }
 
     #[test]
     fn answers_that_are_not_whole_may_have_run() {
         assert!(matches!(ends(""), End::CutAfter));
-        assert!(matches!(ends("HTTP/1.1 200 O"), End::CutAfter | End::Unreadable));
-        assert!(matches!(ends("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok"), End::CutAfter));
+        assert!(matches!(
+            ends("HTTP/1.1 200 O"),
+            End::CutAfter | End::Unreadable
+        ));
+        assert!(matches!(
+            ends("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok"),
+            End::CutAfter
+        ));
         assert!(matches!(
             ends("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n"),
             End::CutAfter
         ));
-        let whole = ends("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
+        let whole =
+            ends("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
         assert!(matches!(whole, End::Answered { body, .. } if body == "ok"));
         assert!(matches!(ends("what is this\r\n\r\n"), End::Unreadable));
-        let large = format!("HTTP/1.1 200 OK\r\ncontent-length: 65537\r\n\r\n{}", "a".repeat(65537));
+        let large = format!(
+            "HTTP/1.1 200 OK\r\ncontent-length: 65537\r\n\r\n{}",
+            "a".repeat(65537)
+        );
         assert!(matches!(ends(large.leak()), End::TooLarge));
     }
 
     #[test]
     fn a_connection_that_is_refused_or_never_up_never_ran_and_silence_may_have() {
         run(async {
-            assert!(matches!(reach(nobody().await).sent(&parcel(""), LIMIT).await, End::Refused));
+            assert!(matches!(
+                reach(nobody().await).sent(&parcel(""), LIMIT).await,
+                End::Refused
+            ));
             let (address, _listener, _held) = full().await;
-            assert!(matches!(reach(address).sent(&parcel(""), LIMIT).await, End::NeverUp));
+            assert!(matches!(
+                reach(address).sent(&parcel(""), LIMIT).await,
+                End::NeverUp
+            ));
             let short = Duration::from_millis(20); // before the connect's own bound
-            assert!(matches!(reach(address).sent(&parcel(""), short).await, End::NeverUp));
+            assert!(matches!(
+                reach(address).sent(&parcel(""), short).await,
+                End::NeverUp
+            ));
             let silent = server(|mut stream| async move {
                 message(&mut stream).await;
                 tokio::time::sleep(Duration::from_secs(9)).await;
             });
-            assert!(matches!(reach(silent.await).sent(&parcel(""), LIMIT).await, End::Silent));
+            assert!(matches!(
+                reach(silent.await).sent(&parcel(""), LIMIT).await,
+                End::Silent
+            ));
         });
     }
 
@@ -267,7 +368,10 @@
                 });
                 let (reach, begun) = (reach(address.await), std::time::Instant::now());
                 let end = reach.sent(&parcel("body"), 3 * LIMIT).await;
-                assert!(matches!(end, End::Unreadable | End::TooLarge), "{text}: {end:?}");
+                assert!(
+                    matches!(end, End::Unreadable | End::TooLarge),
+                    "{text}: {end:?}"
+                );
                 assert!(begun.elapsed() < LIMIT / 2, "{text}: {:?}", begun.elapsed());
             });
         }
@@ -275,7 +379,11 @@
         run(async {
             let address = server(|mut stream| async move {
                 message(&mut stream).await;
-                write(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nbody").await;
+                write(
+                    &mut stream,
+                    "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nbody",
+                )
+                .await;
                 std::future::pending::<()>().await
             });
             let end = reach(address.await).sent(&parcel("body"), 3 * LIMIT).await;
@@ -289,7 +397,12 @@
         const GOOD: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
         const OTHER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nno";
         for (front, behind, later, connections) in [
-            ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nlink: a\r\n\r\n", "", "", 1),
+            (
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nlink: a\r\n\r\n",
+                "",
+                "",
+                1,
+            ),
             ("", OTHER, "", 3),
             ("", "noise", "", 3),
             ("", "", OTHER, 3),
@@ -328,11 +441,18 @@
                 let seen = seen.clone();
                 async move {
                     message(&mut stream).await;
-                    write(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok").await;
+                    write(
+                        &mut stream,
+                        "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok",
+                    )
+                    .await;
                     seen.set(matches!(stream.read(&mut [0; 8]).await, Ok(0) | Err(_)));
                 }
             });
-            assert!(matches!(reach(address.await).sent(&parcel(""), LIMIT / 2).await, End::Silent));
+            assert!(matches!(
+                reach(address.await).sent(&parcel(""), LIMIT / 2).await,
+                End::Silent
+            ));
             tokio::time::sleep(Duration::from_millis(50)).await;
             assert!(closed.get());
         });
@@ -346,7 +466,11 @@
             let (address, made) = counted(|mut stream| async move {
                 for _ in 0..2 {
                     message(&mut stream).await;
-                    write(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").await;
+                    write(
+                        &mut stream,
+                        "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok",
+                    )
+                    .await;
                 }
                 message(&mut stream).await; // the third is read and dropped
             })
@@ -354,31 +478,45 @@
             let reach = reach(address);
             let hit = parcel("");
             for _ in 0..2 {
-                assert!(matches!(reach.sent(&hit, LIMIT).await, End::Answered { .. }));
+                assert!(matches!(
+                    reach.sent(&hit, LIMIT).await,
+                    End::Answered { .. }
+                ));
             }
             assert!(matches!(reach.sent(&hit, LIMIT).await, End::CutAfter));
             assert_eq!(made.get(), 1);
-            assert!(matches!(reach.sent(&hit, LIMIT).await, End::Answered { .. }));
+            assert!(matches!(
+                reach.sent(&hit, LIMIT).await,
+                End::Answered { .. }
+            ));
             assert_eq!(made.get(), 2);
 
             // The node closes it while it is idle: it is not written to again, and its end is not taken for
             // that of the next one.
             let once = server(|mut stream| async move {
                 message(&mut stream).await;
-                let text = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n";
+                let text =
+                    "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n";
                 write(&mut stream, text).await;
             });
             let reach = super::tests::reach(once.await);
             for _ in 0..2 {
-                assert!(matches!(reach.sent(&hit, LIMIT).await, End::Answered { .. }));
+                assert!(matches!(
+                    reach.sent(&hit, LIMIT).await,
+                    End::Answered { .. }
+                ));
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
 
             let closing =
-                answering("HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\nok").await;
+                answering("HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\nok")
+                    .await;
             let reach = super::tests::reach(closing);
             for _ in 0..2 {
-                assert!(matches!(reach.sent(&hit, LIMIT).await, End::Answered { .. }));
+                assert!(matches!(
+                    reach.sent(&hit, LIMIT).await,
+                    End::Answered { .. }
+                ));
             }
         });
     }
@@ -390,18 +528,26 @@
             let (address, made) = counted(|mut stream| async move {
                 while !message(&mut stream).await.is_empty() {
                     tokio::time::sleep(Duration::from_millis(100)).await;
-                    write(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").await;
+                    write(
+                        &mut stream,
+                        "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok",
+                    )
+                    .await;
                 }
             })
             .await;
             let idle = Duration::from_millis(50);
             let reach = Reach::new(address, LIMIT, idle).expect("an address");
             let hit = parcel("");
-            let all = futures_util::future::join_all((0..150).map(|_| reach.sent(&hit, 3 * LIMIT))).await;
+            let all =
+                futures_util::future::join_all((0..150).map(|_| reach.sent(&hit, 3 * LIMIT))).await;
             assert!(all.iter().all(|end| matches!(end, End::Answered { .. })));
             assert_eq!(made.get(), 150);
             tokio::time::sleep(2 * idle).await;
-            assert!(matches!(reach.sent(&hit, LIMIT).await, End::Answered { .. }));
+            assert!(matches!(
+                reach.sent(&hit, LIMIT).await,
+                End::Answered { .. }
+            ));
             assert_eq!(made.get(), 151);
         });
     }
--- a/crates/sidecar/src/wire/place.rs
+++ b/crates/sidecar/src/wire/place.rs
@@ -51,7 +51,10 @@
     // Where the settings say nothing: what TCP users commonly allow.
     let connect = seconds("limits.connect_timeout_s", 1.0);
     let idle = seconds("limits.conn_idle_s", 10.0).mul_f64(IDLE_PART);
-    (Times { connect, idle }, seconds("family_info.call_timeout_s", 1.0))
+    (
+        Times { connect, idle },
+        seconds("family_info.call_timeout_s", 1.0),
+    )
 }
 
 pub struct Place {
@@ -63,7 +66,11 @@
 
 impl Place {
     pub fn new(address: String) -> Place {
-        Place { address: address.into(), turn: Cell::default(), told: Notify::new() }
+        Place {
+            address: address.into(),
+            turn: Cell::default(),
+            told: Notify::new(),
+        }
     }
 
     pub fn address(&self) -> String {
