--- a/crates/sidecar/src/wire/platform.rs
+++ b/crates/sidecar/src/wire/platform.rs
@@ -26,11 +26,16 @@
 pub type Fields = BTreeMap<String, String>;
 
 pub fn form(text: &str) -> Fields {
-    form_urlencoded::parse(text.as_bytes()).into_owned().collect()
+    form_urlencoded::parse(text.as_bytes())
+        .into_owned()
+        .collect()
 }
 
 fn number(fields: &Fields, name: &str) -> Result<f64, String> {
-    let value = fields.get(name).and_then(|v| v.parse::<f64>().ok()).filter(|v| v.is_finite() && *v >= 0.0);
+    let value = fields
+        .get(name)
+        .and_then(|v| v.parse::<f64>().ok())
+        .filter(|v| v.is_finite() && *v >= 0.0);
     value.ok_or_else(|| format!("news: {name}: expected a number, 0 or more"))
 }
 
@@ -44,8 +49,17 @@
         _ => return Err("news: progress: expected a phase".into()),
     };
     let since = number(fields, "lag_ms")? / 1e3;
-    let (build, stage) = (number(fields, "image")? as u32, number(fields, "ring")? as usize);
-    Ok(News { build, stage, phase, since, cap: number(fields, "ceiling")? })
+    let (build, stage) = (
+        number(fields, "image")? as u32,
+        number(fields, "ring")? as usize,
+    );
+    Ok(News {
+        build,
+        stage,
+        phase,
+        since,
+        cap: number(fields, "ceiling")?,
+    })
 }
 
 /// A count of one build's forwards: the path group's name, and the figures.
@@ -53,15 +67,26 @@
     let whole = |name| Ok::<_, String>(number(fields, name)? as u32);
     let (build, forwards, failed) = (whole("image")?, whole("n")?, whole("bad")?);
     let group = fields.get("type").map_or("", String::as_str);
-    Ok((group, Tally { build, forwards, failed }))
+    Ok((
+        group,
+        Tally {
+            build,
+            forwards,
+            failed,
+        },
+    ))
 }
 
 /// The leaves of an XML answer, by their names; of equal names the first counts.
 fn leaves(xml: &str) -> Result<Fields, String> {
     let mut reader = quick_xml::Reader::from_str(xml);
-    let (mut fields, mut open, mut text, mut depth) = (Fields::new(), String::new(), String::new(), 0);
+    let (mut fields, mut open, mut text, mut depth) =
+        (Fields::new(), String::new(), String::new(), 0);
     loop {
-        match reader.read_event().map_err(|e| format!("expected XML: {e}"))? {
+        match reader
+            .read_event()
+            .map_err(|e| format!("expected XML: {e}"))?
+        {
             Event::Start(tag) => {
                 depth += 1;
                 open = tag.local_name().as_ref().to_owned();
@@ -71,7 +96,9 @@
             Event::End(_) => {
                 depth -= 1;
                 if !open.is_empty() {
-                    fields.entry(std::mem::take(&mut open)).or_insert(text.trim().to_owned());
+                    fields
+                        .entry(std::mem::take(&mut open))
+                        .or_insert(text.trim().to_owned());
                 }
             }
             Event::Eof if depth == 0 && !fields.is_empty() => return Ok(fields),
@@ -85,7 +112,9 @@
 fn receipt(status: u16, body: &str) -> (Receipt, Option<News>) {
     let fields = leaves(body).unwrap_or_default();
     match (status, fields.get("Code").map(String::as_str)) {
-        (200, _) => news(&fields).map_or((Receipt::Unknown, None), |news| (Receipt::Counted, Some(news))),
+        (200, _) => news(&fields).map_or((Receipt::Unknown, None), |news| {
+            (Receipt::Counted, Some(news))
+        }),
         (400, Some("conflict")) => (Receipt::Moot, None),
         (400, Some("throttled" | "invalid")) | (500, Some("internal")) => (Receipt::Refused, None),
         _ => (Receipt::Unknown, None), // it can't be read: the vote may have been carried out
@@ -124,8 +153,13 @@
             .force_close();
         let call = call.content_type("application/x-www-form-urlencoded");
         let mut answer = call.send_body(form).await.map_err(|e| e.to_string())?;
-        let body = whole(&mut answer, BODY_MOST).await.map_err(|e| format!("{e:?}"))?;
-        Ok::<_, String>((answer.status().as_u16(), String::from_utf8_lossy(&body).into_owned()))
+        let body = whole(&mut answer, BODY_MOST)
+            .await
+            .map_err(|e| format!("{e:?}"))?;
+        Ok::<_, String>((
+            answer.status().as_u16(),
+            String::from_utf8_lossy(&body).into_owned(),
+        ))
     };
     let unsent = async {
         place.left(turn).await;
@@ -145,7 +179,14 @@
         Ok(Ok((status, body))) => receipt(status, &body),
         failed => {
             log::info!("vote: no answer: {failed:?}");
-            (if trace.carried() { Receipt::Unknown } else { Receipt::Refused }, None)
+            (
+                if trace.carried() {
+                    Receipt::Unknown
+                } else {
+                    Receipt::Refused
+                },
+                None,
+            )
         }
     }
 }
@@ -173,7 +214,9 @@
                 }
                 continue;
             }
-            let line = String::from_utf8_lossy(&self.line).trim_end_matches('\r').to_owned();
+            let line = String::from_utf8_lossy(&self.line)
+                .trim_end_matches('\r')
+                .to_owned();
             self.line.clear();
             match line.split_once(':').unwrap_or((&line, "")) {
                 ("event", kind) => self.event = kind.trim().to_owned(),
@@ -210,7 +253,9 @@
 async fn listen(exchange: &Exchange, at: &str) -> Result<(), String> {
     let client = line::client(CONNECT, Duration::ZERO, None);
     let asked = client.get(format!("http://{at}/api/bulletin")).send();
-    let asked = tokio::time::timeout(CONNECT, asked).await.map_err(|_| "no answer")?;
+    let asked = tokio::time::timeout(CONNECT, asked)
+        .await
+        .map_err(|_| "no answer")?;
     let mut answer = asked.map_err(|e| e.to_string())?;
     if answer.status().as_u16() != 200 {
         return Err(format!("answered {}", answer.status()));
@@ -253,7 +298,9 @@
         <ceiling>0.28</ceiling><lag_ms>310</lag_ms>";
 
     fn answer(item: &str) -> String {
-        format!("<?xml version=\"1.0\"?>\n<Response><groups><item>{item}</item></groups></Response>")
+        format!(
+            "<?xml version=\"1.0\"?>\n<Response><groups><item>{item}</item></groups></Response>"
+        )
     }
 
     #[test]
@@ -264,56 +311,104 @@
         let good = "image=42&type=lookup&n=57&bad=2&latency_ms=18.5&lag_ms=900";
         assert_eq!(read(good), Ok(("lookup".into(), 42, 57, 2)));
         assert_eq!(told(&exchange(), "SAMPLE", good), Ok(())); // of a path group that is not known here
-        assert!(read("image=42&type=lookup&n=57").is_err() && read("image=42&type=a&n=-1&bad=0").is_err());
+        assert!(
+            read("image=42&type=lookup&n=57").is_err()
+                && read("image=42&type=a&n=-1&bad=0").is_err()
+        );
     }
 
     #[test]
     fn receipts_follow_the_platform_s_table() {
         let (receipt, news) = super::receipt(200, &answer(ITEM));
         let news = news.expect("news");
-        assert_eq!((receipt, news.build, news.stage, news.phase), (Receipt::Counted, 42, 1, Phase::Trial));
+        assert_eq!(
+            (receipt, news.build, news.stage, news.phase),
+            (Receipt::Counted, 42, 1, Phase::Trial)
+        );
         assert_eq!((news.cap, news.since), (0.28, 0.31));
         let error = |status, code: &str| {
-            super::receipt(status, &format!("<?xml version=\"1.0\"?><Error><Code>{code}</Code></Error>")).0
+            super::receipt(
+                status,
+                &format!("<?xml version=\"1.0\"?><Error><Code>{code}</Code></Error>"),
+            )
+            .0
         };
         assert_eq!(error(400, "throttled"), Receipt::Refused);
         assert_eq!(error(400, "conflict"), Receipt::Moot);
         assert_eq!(error(500, "internal"), Receipt::Refused);
         assert_eq!(error(400, "invalid"), Receipt::Refused);
         assert_eq!(error(400, "else"), Receipt::Unknown);
-        assert_eq!(super::receipt(200, "<Response><groups>").0, Receipt::Unknown);
-        assert_eq!(super::receipt(200, &answer("<image>42</image>")).0, Receipt::Unknown);
+        assert_eq!(
+            super::receipt(200, "<Response><groups>").0,
+            Receipt::Unknown
+        );
+        assert_eq!(
+            super::receipt(200, &answer("<image>42</image>")).0,
+            Receipt::Unknown
+        );
     }
 
     #[test]
     fn a_vote_is_a_form_and_what_surely_never_left_is_refused() {
         run(async {
-            let vote = Vote { verdict: Verdict::On, build: 42, stage: 1 };
+            let vote = Vote {
+                verdict: Verdict::On,
+                build: 42,
+                stage: 1,
+            };
             let limit = Duration::from_millis(200);
-            assert_eq!(cast(&Place::new(nobody().await.to_string()), vote, limit).await.0, Receipt::Refused);
+            assert_eq!(
+                cast(&Place::new(nobody().await.to_string()), vote, limit)
+                    .await
+                    .0,
+                Receipt::Refused
+            );
             let drops = server(|mut stream| async move { message(&mut stream).await });
-            assert_eq!(cast(&Place::new(drops.await.to_string()), vote, limit).await.0, Receipt::Unknown);
+            assert_eq!(
+                cast(&Place::new(drops.await.to_string()), vote, limit)
+                    .await
+                    .0,
+                Receipt::Unknown
+            );
             let silent = server(|mut stream| async move {
                 message(&mut stream).await;
                 tokio::time::sleep(Duration::from_secs(9)).await;
             });
-            assert_eq!(cast(&Place::new(silent.await.to_string()), vote, limit).await.0, Receipt::Unknown);
+            assert_eq!(
+                cast(&Place::new(silent.await.to_string()), vote, limit)
+                    .await
+                    .0,
+                Receipt::Unknown
+            );
             let takes = server(|mut stream| async move {
                 let came = message(&mut stream).await;
                 assert!(came.starts_with("POST /api/ HTTP/1.1\r\n"), "{came}");
-                let form = came.ends_with("\r\n\r\nAction=RecordOpinion&image=42&ring=1&opinion=approve");
+                let form =
+                    came.ends_with("\r\n\r\nAction=RecordOpinion&image=42&ring=1&opinion=approve");
                 let xml = answer(if form { ITEM } else { "" });
-                write(&mut stream, &format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{xml}", xml.len()))
-                    .await;
+                write(
+                    &mut stream,
+                    &format!(
+                        "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{xml}",
+                        xml.len()
+                    ),
+                )
+                .await;
             });
-            assert_eq!(cast(&Place::new(takes.await.to_string()), vote, limit).await.0, Receipt::Counted);
+            assert_eq!(
+                cast(&Place::new(takes.await.to_string()), vote, limit)
+                    .await
+                    .0,
+                Receipt::Counted
+            );
         });
     }
 
     /// However the stream is cut, the same events come out of it.
     #[test]
     fn events_may_be_split_anywhere() {
-        let stream = b":\n\nevent: ROLLOUT\ndata: image=42&ring=1\n\n:\nevent: SAMPLE\r\ndata: n=1\r\n\r\n";
+        let stream =
+            b":\n\nevent: ROLLOUT\ndata: image=42&ring=1\n\n:\nevent: SAMPLE\r\ndata: n=1\r\n\r\n";
         for size in 1..stream.len() {
             let (mut events, mut got) = (Events::default(), Vec::new());
             for piece in stream.chunks(size) {
@@ -323,9 +418,15 @@
                 });
                 assert_eq!(fed, Ok(()));
             }
-            assert_eq!(got, ["ROLLOUT image=42&ring=1", "SAMPLE n=1"], "pieces of {size}");
+            assert_eq!(
+                got,
+                ["ROLLOUT image=42&ring=1", "SAMPLE n=1"],
+                "pieces of {size}"
+            );
         }
-        assert!(Events::default().feed(&[b'a'; LINE_MOST + 1], |_, _| Ok(())).is_err());
+        assert!(Events::default()
+            .feed(&[b'a'; LINE_MOST + 1], |_, _| Ok(()))
+            .is_err());
     }
 
     /// What can be read whole is taken; the rest ends the connection, and nothing is picked out of it.
@@ -333,13 +434,18 @@
     fn news_are_taken_up_to_the_first_that_cannot_be_read() {
         const RELEASED: &str =
             "event: ROLLOUT\ndata: image=42&ring=1&progress=COMPLETE&ceiling=1&lag_ms=0\n\n";
-        for noise in
-            ["event: ROLLOUT\ndata: image=43&ring=1\n\n", "event: \u{1}\n\n", "\u{2}x\n", "noise: x\n"]
-        {
+        for noise in [
+            "event: ROLLOUT\ndata: image=43&ring=1\n\n",
+            "event: \u{1}\n\n",
+            "\u{2}x\n",
+            "noise: x\n",
+        ] {
             let (exchange, mut events) = (exchange(), Events::default());
             let text = format!(":\n\n{RELEASED}{noise}{}", RELEASED.replace("42", "44"));
             assert!(
-                events.feed(text.as_bytes(), |kind, data| told(&exchange, kind, data)).is_err(),
+                events
+                    .feed(text.as_bytes(), |kind, data| told(&exchange, kind, data))
+                    .is_err(),
                 "{noise}"
             );
             assert_eq!(exchange.newest(), Some(42), "{noise}");
@@ -351,9 +457,15 @@
         let whole = "image=42&ring=1&progress=COMPLETE&ceiling=1&lag_ms=0";
         assert_eq!(news(&form(whole)).map(|n| n.phase), Ok(Phase::Released));
         let odd = whole.replace("COMPLETE", "ELSE");
-        assert_eq!(news(&form(&odd)).err().as_deref(), Some("news: progress: expected a phase"));
+        assert_eq!(
+            news(&form(&odd)).err().as_deref(),
+            Some("news: progress: expected a phase")
+        );
         let odd = whole.replace("ceiling=1", "ceiling=-1");
-        assert_eq!(news(&form(&odd)).err().as_deref(), Some("news: ceiling: expected a number, 0 or more"));
+        assert_eq!(
+            news(&form(&odd)).err().as_deref(),
+            Some("news: ceiling: expected a number, 0 or more")
+        );
     }
 
     /// A stream that ends, or that cannot be read, is opened again after a pause, not at once.
@@ -366,12 +478,19 @@
             let at = server(move |mut stream| {
                 let noted = noted.clone();
                 async move {
-                    if message(&mut stream).await.starts_with("GET /api/bulletin HTTP/1.1") {
+                    if message(&mut stream)
+                        .await
+                        .starts_with("GET /api/bulletin HTTP/1.1")
+                    {
                         noted.borrow_mut().push(begun.elapsed());
                     }
                     let event = "event: ROLLOUT\ndata: image=42\n\n";
                     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-                    write(&mut stream, &format!("{head}{:x}\r\n{event}\r\n", event.len())).await;
+                    write(
+                        &mut stream,
+                        &format!("{head}{:x}\r\n{event}\r\n", event.len()),
+                    )
+                    .await;
                 }
             });
             let around = around();
@@ -379,7 +498,10 @@
             let following = follow(exchange(), around);
             let _ = tokio::time::timeout(Duration::from_millis(400), following).await;
             let opened = opened.borrow();
-            assert!(opened.len() == 2 && opened[1] - opened[0] >= PAUSE, "{opened:?}");
+            assert!(
+                opened.len() == 2 && opened[1] - opened[0] >= PAUSE,
+                "{opened:?}"
+            );
         });
     }
 }
--- a/examples/gateway/appliance.rs
+++ b/examples/gateway/appliance.rs
@@ -92,12 +92,16 @@
 
     fn reply(&self, status: u16, text: &str) -> Reply {
         let mut reply = Response::new(Full::from(text.to_owned()));
-        *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+        *reply.status_mut() =
+            StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let running = BERTHS - self.berths.available_permits();
         let load = format!("{running},{},{BERTHS}", self.waiting.get());
         let headers = reply.headers_mut();
         headers.insert("load", HeaderValue::from_str(&load).expect("digits"));
-        headers.insert("appliance-id", HeaderValue::from_str(&self.id).expect("letters"));
+        headers.insert(
+            "appliance-id",
+            HeaderValue::from_str(&self.id).expect("letters"),
+        );
         if self.closing.get() {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -107,7 +111,9 @@
     /// An answer that says that the request was not run.
     fn not_run(&self, status: u16, why: &str) -> Reply {
         let mut reply = self.reply(status, why);
-        reply.headers_mut().insert("not-delivered", HeaderValue::from_static("1"));
+        reply
+            .headers_mut()
+            .insert("not-delivered", HeaderValue::from_static("1"));
         reply
     }
 
@@ -125,7 +131,13 @@
                 let _ = body.collect().await;
                 let left = text(&head.headers, "time-left-ms").and_then(|l| l.parse().ok());
                 let due = arrived + Duration::from_millis(left.unwrap_or(60_000));
-                self.work(&head.method, head.uri.path(), id.to_str().unwrap_or(""), due).await
+                self.work(
+                    &head.method,
+                    head.uri.path(),
+                    id.to_str().unwrap_or(""),
+                    due,
+                )
+                .await
             }
         };
         if let Some(id) = id {
@@ -146,15 +158,29 @@
             return self.not_run(503, "no berth in time\n");
         };
         let key = (self.service.clone(), self.version.clone());
-        self.tally.borrow_mut().run.entry(key.clone()).or_default().0 += 1;
+        self.tally
+            .borrow_mut()
+            .run
+            .entry(key.clone())
+            .or_default()
+            .0 += 1;
         if method == hyper::Method::POST {
-            *self.tally.borrow_mut().orders.entry(id.to_owned()).or_default() += 1;
+            *self
+                .tally
+                .borrow_mut()
+                .orders
+                .entry(id.to_owned())
+                .or_default() += 1;
         }
         let (usual, failed) = {
             let mut rng = rand::thread_rng();
             (rng.gen_range(20.0..60.0), rng.gen_bool(self.fail))
         };
-        let cold = if self.cold_left().is_zero() { 1.0 } else { COLD_SLOW };
+        let cold = if self.cold_left().is_zero() {
+            1.0
+        } else {
+            COLD_SLOW
+        };
         let done = Instant::now() + Duration::from_secs_f64(usual * self.slow * cold / 1e3);
         tokio::time::sleep_until(done.min(due).into()).await;
         let status = match (done > due, failed) {
@@ -165,7 +191,10 @@
         if status != 200 {
             self.tally.borrow_mut().run.entry(key).or_default().1 += 1;
         }
-        let mut reply = self.reply(status, &format!("{} {} {path}\n", self.service, self.version));
+        let mut reply = self.reply(
+            status,
+            &format!("{} {} {path}\n", self.service, self.version),
+        );
         let mark = HeaderValue::from_str(&format!("{}.{status}", self.id)).expect("letters");
         reply.headers_mut().insert("postmark", mark);
         reply
--- a/examples/gateway/clients.rs
+++ b/examples/gateway/clients.rs
@@ -18,8 +18,11 @@
 
 const HOST: &str = "booking.example";
 /// Method, path, how long a client waits, and the share of the requests.
-const KINDS: [(&str, &str, u64, f64); 3] =
-    [("GET", "/slots/", 2500, 0.6), ("POST", "/holds/", 3000, 0.2), ("POST", "/firings/", 1500, 0.2)];
+const KINDS: [(&str, &str, u64, f64); 3] = [
+    ("GET", "/slots/", 2500, 0.6),
+    ("POST", "/holds/", 3000, 0.2),
+    ("POST", "/firings/", 1500, 0.2),
+];
 /// A line this often.
 const LINE: Duration = Duration::from_secs(2);
 
@@ -50,11 +53,18 @@
 impl Seen {
     fn line(&mut self) -> String {
         let served: u64 = self.served.values().sum();
-        let by: Vec<String> = self.served.iter().map(|(by, count)| format!("{by} {count}")).collect();
+        let by: Vec<String> = self
+            .served
+            .iter()
+            .map(|(by, count)| format!("{by} {count}"))
+            .collect();
         self.millis.sort_by(f64::total_cmp);
         let at = |share: f64| {
             let last = self.millis.len().saturating_sub(1);
-            self.millis.get((share * last as f64) as usize).copied().unwrap_or(0.0)
+            self.millis
+                .get((share * last as f64) as usize)
+                .copied()
+                .unwrap_or(0.0)
         };
         format!(
             "{} sent, {served} served ({}), {} failed, {} tried again; half within {:.0} ms, 99 of 100 within {:.0} ms",
@@ -71,7 +81,10 @@
         self.sent += other.sent;
         self.failed += other.failed;
         self.again += other.again;
-        other.served.into_iter().for_each(|(by, count)| *self.served.entry(by).or_default() += count);
+        other
+            .served
+            .into_iter()
+            .for_each(|(by, count)| *self.served.entry(by).or_default() += count);
         self.millis.extend(other.millis);
     }
 }
@@ -79,7 +92,9 @@
 pub async fn run(load: Load) -> Result<(), String> {
     let tasks = tokio::task::LocalSet::new();
     let mut end = signal(SignalKind::terminate()).map_err(|e| format!("no signals: {e}"))?;
-    tasks.run_until(send(load, async move { end.recv().await })).await;
+    tasks
+        .run_until(send(load, async move { end.recv().await }))
+        .await;
     Ok(())
 }
 
@@ -118,7 +133,11 @@
 async fn client(seen: Rc<RefCell<Seen>>, fronts: Vec<SocketAddr>) {
     let (draw, mut front, number) = {
         let mut rng = rand::thread_rng();
-        (rng.gen_range(0.0..1.0), rng.gen_range(0..fronts.len()), rng.gen_range(0..1000))
+        (
+            rng.gen_range(0.0..1.0),
+            rng.gen_range(0..fronts.len()),
+            rng.gen_range(0..1000),
+        )
     };
     let mut left: f64 = draw;
     let kind = KINDS.iter().find(|kind| {
@@ -126,12 +145,18 @@
         left < 0.0
     });
     let (method, path, waits, _) = *kind.unwrap_or(&KINDS[0]);
-    let (began, due) = (Instant::now(), Instant::now() + Duration::from_millis(waits));
+    let (began, due) = (
+        Instant::now(),
+        Instant::now() + Duration::from_millis(waits),
+    );
     seen.borrow_mut().sent += 1;
     loop {
         let id = format!("{:016x}", rand::thread_rng().gen::<u64>());
         let left = due.saturating_duration_since(Instant::now());
-        let told = [("try-id", id), ("time-left-ms", left.as_millis().to_string())];
+        let told = [
+            ("try-id", id),
+            ("time-left-ms", left.as_millis().to_string()),
+        ];
         let at = fronts[front % fronts.len()];
         let request = request(method, &format!("{path}{number}"), HOST, &told);
         let answer = tokio::time::timeout(left, one(at, request)).await;
@@ -146,8 +171,13 @@
             }
             // A promise: it has not run.
             Ok(Ok((429 | 503 | 408 | 421, headers, _))) => {
-                let told = headers.get("retry-after").and_then(|h| h.to_str().ok()?.parse::<f64>().ok());
-                (true, Duration::from_secs_f64(told.unwrap_or(0.1).clamp(0.0, 60.0)).min(left / 3))
+                let told = headers
+                    .get("retry-after")
+                    .and_then(|h| h.to_str().ok()?.parse::<f64>().ok());
+                (
+                    true,
+                    Duration::from_secs_f64(told.unwrap_or(0.1).clamp(0.0, 60.0)).min(left / 3),
+                )
             }
             Ok(Err(Wrong::NoConnection(_))) => (true, Duration::from_millis(50)),
             // It may have run: only what may run again is sent again.
@@ -164,13 +194,27 @@
 }
 
 /// A request with some headers.
-pub fn request(method: &str, path: &str, host: &str, headers: &[(&str, String)]) -> Request<Full<Bytes>> {
-    let mut request = Request::builder().method(method).uri(path).header("host", host);
+pub fn request(
+    method: &str,
+    path: &str,
+    host: &str,
+    headers: &[(&str, String)],
+) -> Request<Full<Bytes>> {
+    let mut request = Request::builder()
+        .method(method)
+        .uri(path)
+        .header("host", host);
     for (name, value) in headers {
         request = request.header(*name, value);
     }
-    let body = if method == "POST" { Bytes::from_static(b"an order\n") } else { Bytes::new() };
-    request.body(Full::new(body)).expect("a request of known parts")
+    let body = if method == "POST" {
+        Bytes::from_static(b"an order\n")
+    } else {
+        Bytes::new()
+    };
+    request
+        .body(Full::new(body))
+        .expect("a request of known parts")
 }
 
 /// Why there is no answer.
@@ -189,7 +233,10 @@
 }
 
 /// One request on a connection of its own.
-pub async fn one(at: SocketAddr, request: Request<Full<Bytes>>) -> Result<(u16, HeaderMap, Bytes), Wrong> {
+pub async fn one(
+    at: SocketAddr,
+    request: Request<Full<Bytes>>,
+) -> Result<(u16, HeaderMap, Bytes), Wrong> {
     let stream = TcpStream::connect(at).await.map_err(Wrong::NoConnection)?;
     let _ = stream.set_nodelay(true);
     let shaken = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
--- a/examples/gateway/main.rs
+++ b/examples/gateway/main.rs
@@ -77,16 +77,28 @@
     let called = match arguments.command {
         Some(Command::Platform(_)) => platform::run(at).await,
         Some(Command::Start(s)) => {
-            let Start { service, version, count, fail, slow, .. } = s;
-            let query = format!("service={service}&version={version}&count={count}&fail={fail}&slow={slow}");
+            let Start {
+                service,
+                version,
+                count,
+                fail,
+                slow,
+                ..
+            } = s;
+            let query = format!(
+                "service={service}&version={version}&count={count}&fail={fail}&slow={slow}"
+            );
             told(at, &format!("/start?{query}")).await
         }
-        Some(Command::Stop(Stop { service, version, .. })) => {
-            told(at, &format!("/stop?service={service}&version={version}")).await
-        }
+        Some(Command::Stop(Stop {
+            service, version, ..
+        })) => told(at, &format!("/stop?service={service}&version={version}")).await,
         Some(Command::Tally(_)) => told(at, "/tally").await,
         Some(Command::Clients(load)) => clients::run(load).await,
-        None => Err(format!("expected a command\n{}", Arguments::command_list().unwrap_or_default())),
+        None => Err(format!(
+            "expected a command\n{}",
+            Arguments::command_list().unwrap_or_default()
+        )),
     };
     match called {
         Ok(()) => ExitCode::SUCCESS,
@@ -100,7 +112,9 @@
 /// Calls the platform and prints what it says.
 async fn told(at: SocketAddr, path: &str) -> Result<(), String> {
     let request = clients::request("POST", path, PLATFORM, &[]);
-    let (status, _, body) = clients::one(at, request).await.map_err(|e| format!("{at}: {e}"))?;
+    let (status, _, body) = clients::one(at, request)
+        .await
+        .map_err(|e| format!("{at}: {e}"))?;
     let text = String::from_utf8_lossy(&body).into_owned();
     if status != 200 {
         return Err(format!("{at}: {status} {text}"));
--- a/examples/gateway/platform.rs
+++ b/examples/gateway/platform.rs
@@ -33,7 +33,9 @@
 
 /// Serves until the process ends. It begins with a first version of both services.
 pub async fn run(at: SocketAddr) -> Result<(), String> {
-    let door = TcpListener::bind(at).await.map_err(|e| format!("{at}: can't listen: {e}"))?;
+    let door = TcpListener::bind(at)
+        .await
+        .map_err(|e| format!("{at}: can't listen: {e}"))?;
     let platform = Rc::new(Platform {
         appliances: RefCell::new(Vec::new()),
         started: Cell::new(0),
@@ -46,9 +48,14 @@
         .run_until(async {
             platform.start("calendar", "v1", 6, 0.0, 1.0).await?;
             platform.start("firing", "v1", 3, 0.0, 1.0).await?;
-            println!("platform: the list is at {at}; {} appliances run", platform.started.get());
+            println!(
+                "platform: the list is at {at}; {} appliances run",
+                platform.started.get()
+            );
             loop {
-                let Ok((stream, _)) = door.accept().await else { continue };
+                let Ok((stream, _)) = door.accept().await else {
+                    continue;
+                };
                 let platform = platform.clone();
                 tokio::task::spawn_local(async move {
                     let service = service_fn(move |request| {
@@ -56,7 +63,9 @@
                         async move { Ok::<_, Infallible>(platform.answer(request).await) }
                     });
                     let io = TokioIo::new(stream);
-                    let _ = hyper::server::conn::http1::Builder::new().serve_connection(io, service).await;
+                    let _ = hyper::server::conn::http1::Builder::new()
+                        .serve_connection(io, service)
+                        .await;
                 });
             }
         })
@@ -80,7 +89,9 @@
     ) -> Result<(), String> {
         for _ in 0..count {
             // Any free port: an address is handed out again only after a while.
-            let door = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("no port: {e}"))?;
+            let door = TcpListener::bind("127.0.0.1:0")
+                .await
+                .map_err(|e| format!("no port: {e}"))?;
             let at = door.local_addr().map_err(|e| format!("no port: {e}"))?;
             self.started.set(self.started.get() + 1);
             let appliance = Rc::new(Appliance {
@@ -116,7 +127,10 @@
         tokio::task::spawn_local(async move {
             tokio::time::sleep(DRAIN).await;
             for appliance in leaving {
-                platform.appliances.borrow_mut().retain(|(_, a)| a.id != appliance.id);
+                platform
+                    .appliances
+                    .borrow_mut()
+                    .retain(|(_, a)| a.id != appliance.id);
                 appliance.ended.notify_one();
             }
         });
@@ -138,17 +152,35 @@
             "/appliances" => self.list(&asked("zone"), asked("page").parse().unwrap_or(0)),
             "/start" => {
                 let count = number("count", 1.0) as u32;
-                match self.start(&service, &version, count, number("fail", 0.0), number("slow", 1.0)).await {
-                    Ok(()) => reply(200, format!("{count} appliances of {service} {version} started\n")),
+                match self
+                    .start(
+                        &service,
+                        &version,
+                        count,
+                        number("fail", 0.0),
+                        number("slow", 1.0),
+                    )
+                    .await
+                {
+                    Ok(()) => reply(
+                        200,
+                        format!("{count} appliances of {service} {version} started\n"),
+                    ),
                     Err(wrong) => reply(500, wrong),
                 }
             }
             "/stop" => {
                 let count = self.stop(&service, &version);
-                reply(200, format!("{count} appliances of {service} {version} are leaving\n"))
+                reply(
+                    200,
+                    format!("{count} appliances of {service} {version} are leaving\n"),
+                )
             }
             "/tally" => reply(200, self.tallied()),
-            other => reply(404, format!("found {other}, expected /appliances, /start, /stop or /tally\n")),
+            other => reply(
+                404,
+                format!("found {other}, expected /appliances, /start, /stop or /tally\n"),
+            ),
         }
     }
 
@@ -163,7 +195,11 @@
         let all = self.appliances.borrow();
         let mut page = jzon::JsonValue::new_object();
         // All stand in one zone.
-        for (at, appliance) in all.iter().skip(from).take(PAGE).filter(|_| zone.is_empty() || zone == "hall")
+        for (at, appliance) in all
+            .iter()
+            .skip(from)
+            .take(PAGE)
+            .filter(|_| zone.is_empty() || zone == "hall")
         {
             let entry = jzon::object! {
                 service: appliance.service.as_str(), address: at.to_string(), zone: "hall",
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -40,7 +40,8 @@
 
 impl World {
     fn become_(&mut self, build: u32, stage: usize, progress: &'static str) {
-        (self.build, self.stage, self.progress, self.since) = (build, stage, progress, Instant::now());
+        (self.build, self.stage, self.progress, self.since) =
+            (build, stage, progress, Instant::now());
         self.rev += 1;
         println!("build {build}, stage {stage}: {progress}");
     }
@@ -68,14 +69,20 @@
             (OLD, _) | (_, "ROLLED_BACK") => 0,
             _ => STAGES[self.stage].1,
         };
-        let old = if (self.build, self.progress) == (NEW, "COMPLETE") { 0 } else { 4 };
+        let old = if (self.build, self.progress) == (NEW, "COMPLETE") {
+            0
+        } else {
+            4
+        };
         let line = |i: usize, build: u32| {
             let endpoint = format!("127.0.0.1:{}", FIRST_NODE_PORT + i as u16);
             serde_json::json!({"uid": format!("s-{i}"), "endpoint": endpoint, "az": "a", "model": "toy",
                 "pod_group": 0, "state": "ready", "capacity_hint": 1.0, "boot_ms": 0, "build": build})
         };
-        let targets: Vec<_> =
-            (0..old).map(|i| line(i, OLD)).chain((4..4 + new).map(|i| line(i, NEW))).collect();
+        let targets: Vec<_> = (0..old)
+            .map(|i| line(i, OLD))
+            .chain((4..4 + new).map(|i| line(i, NEW)))
+            .collect();
         serde_json::json!({"rev": self.rev, "all": true, "targets": targets})
     }
 
@@ -88,7 +95,12 @@
         if said("image") != self.build.to_string() {
             return Err("conflict");
         }
-        println!("  vote: {} on build {}, stage {}", said("opinion"), said("image"), said("ring"));
+        println!(
+            "  vote: {} on build {}, stage {}",
+            said("opinion"),
+            said("image"),
+            said("ring")
+        );
         match said("opinion") {
             "approve" if said("ring") != self.stage.to_string() => return Err("conflict"),
             "approve" if self.progress == "IN_PROGRESS" && self.since.elapsed() >= SOAK => {
@@ -106,7 +118,9 @@
 }
 
 fn pairs(text: &str) -> HashMap<String, String> {
-    form_urlencoded::parse(text.as_bytes()).into_owned().collect()
+    form_urlencoded::parse(text.as_bytes())
+        .into_owned()
+        .collect()
 }
 
 fn answer(status: StatusCode, body: String) -> Response<BoxBody> {
@@ -126,7 +140,8 @@
     let asked = pairs(request.uri().query().unwrap_or(""));
     let number = |name: &str| asked.get(name).and_then(|v| v.parse::<u64>().ok());
     let until = Instant::now() + Duration::from_millis(number("wait_ms").unwrap_or(0).min(60_000));
-    while number("after").is_some_and(|after| after >= world.borrow().rev) && Instant::now() < until {
+    while number("after").is_some_and(|after| after >= world.borrow().rev) && Instant::now() < until
+    {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     answer(StatusCode::OK, world.borrow().list().to_string())
@@ -143,7 +158,11 @@
     }
     let rev = world.borrow().rev;
     let text = if rev != told {
-        let fields = world.borrow().fields().map(|(name, value)| format!("{name}={value}")).join("&");
+        let fields = world
+            .borrow()
+            .fields()
+            .map(|(name, value)| format!("{name}={value}"))
+            .join("&");
         format!("event: ROLLOUT\ndata: {fields}\n\n")
     } else if signs.is_multiple_of(20) {
         ":\n".to_owned()
@@ -155,8 +174,11 @@
 
 async fn platform(world: Shared, mut request: Request) -> Response<BoxBody> {
     if request.path() == "/api/bulletin" {
-        let told = stream::unfold((world, 0, 1), |(world, told, signs)| tell(world, told, signs));
-        let told = told.filter(|piece| std::future::ready(!piece.as_ref().is_ok_and(Bytes::is_empty)));
+        let told = stream::unfold((world, 0, 1), |(world, told, signs)| {
+            tell(world, told, signs)
+        });
+        let told =
+            told.filter(|piece| std::future::ready(!piece.as_ref().is_ok_and(Bytes::is_empty)));
         let mut response = Response::build(StatusCode::OK);
         return response
             .content_type("text/event-stream")
@@ -171,13 +193,19 @@
     let mut world = world.borrow_mut();
     match world.vote(&pairs(&String::from_utf8_lossy(&form))) {
         Ok(()) => {
-            let item: String =
-                world.fields().iter().map(|(name, value)| format!("<{name}>{value}</{name}>")).collect();
+            let item: String = world
+                .fields()
+                .iter()
+                .map(|(name, value)| format!("<{name}>{value}</{name}>"))
+                .collect();
             let text =
                 format!("<?xml version=\"1.0\"?>\n<Response><groups><item>{item}</item></groups></Response>");
             answer(StatusCode::OK, text)
         }
-        Err(code) => answer(StatusCode::BAD_REQUEST, format!("<Error><Code>{code}</Code></Error>")),
+        Err(code) => answer(
+            StatusCode::BAD_REQUEST,
+            format!("<Error><Code>{code}</Code></Error>"),
+        ),
     }
 }
 
@@ -186,9 +214,12 @@
 where
     F: Future<Output = Response<BoxBody>> + 'static,
 {
-    let listener = TcpListener::bind(&address).await.unwrap_or_else(|e| panic!("{address}: {e}"));
-    let service =
-        HttpService::build().client_request_timeout(Duration::ZERO).h1(fn_service(move |request| {
+    let listener = TcpListener::bind(&address)
+        .await
+        .unwrap_or_else(|e| panic!("{address}: {e}"));
+    let service = HttpService::build()
+        .client_request_timeout(Duration::ZERO)
+        .h1(fn_service(move |request| {
             let response = respond(request);
             async move { Ok::<_, Infallible>(response.await) }
         }));
@@ -201,7 +232,13 @@
 
 fn main() {
     let bad = std::env::args().nth(1).as_deref() == Some("bad");
-    let began = World { rev: 1, build: OLD, stage: 2, progress: "COMPLETE", since: Instant::now() };
+    let began = World {
+        rev: 1,
+        build: OLD,
+        stage: 2,
+        progress: "COMPLETE",
+        since: Instant::now(),
+    };
     let world: Shared = Rc::new(RefCell::new(began));
     actix_rt::System::new().block_on(async move {
         for i in 0..8 {
--- a/tools/bench-adapter/src/instance.rs
+++ b/tools/bench-adapter/src/instance.rs
@@ -47,18 +47,39 @@
             self.reply.push(',');
         }
         // Writing to a string cannot fail.
-        let _ = write!(self.reply, "{{\"t\":\"{name}\",\"who\":{}{fields}}}", self.who);
+        let _ = write!(
+            self.reply,
+            "{{\"t\":\"{name}\",\"who\":{}{fields}}}",
+            self.who
+        );
     }
 }
 
 impl Instance {
     fn spawn(message: &Message, now: f64) -> Result<Instance, String> {
         let info = message.needed("info", "an object of settings")?;
-        let Told { named, groups, accounts, zones, zone } = Told::read(info)?;
+        let Told {
+            named,
+            groups,
+            accounts,
+            zones,
+            zone,
+        } = Told::read(info)?;
         let balancer = Balancer::start(message.whole("entropy")?, now, zone, named)
             .map_err(|e| format!("{}: info: {e}", message.name))?;
         let (nodes, codes, unread, keys, hits, waiting) = Default::default();
-        Ok(Instance { balancer, nodes, codes, unread, keys, zones, groups, accounts, hits, waiting })
+        Ok(Instance {
+            balancer,
+            nodes,
+            codes,
+            unread,
+            keys,
+            zones,
+            groups,
+            accounts,
+            hits,
+            waiting,
+        })
     }
 
     /// Carries out what the decisions said of a hit.
@@ -75,10 +96,16 @@
             Next::Wait { pause } => {
                 self.waiting.insert(token(handle), id);
                 let pause = micros(pause);
-                out.act("SetAlarm", format_args!(",\"token\":{},\"offset_us\":{pause}", token(handle)));
+                out.act(
+                    "SetAlarm",
+                    format_args!(",\"token\":{},\"offset_us\":{pause}", token(handle)),
+                );
             }
             Next::Bounce { again_after } => {
-                out.act("Reject", format_args!(",\"corr\":{id},\"wait_us\":{}", micros(again_after)));
+                out.act(
+                    "Reject",
+                    format_args!(",\"corr\":{id},\"wait_us\":{}", micros(again_after)),
+                );
             }
             Next::GiveUp => out.act("Surrender", format_args!(",\"corr\":{id}")),
             Next::Nothing => {}
@@ -106,22 +133,36 @@
             };
             out.act(
                 "Ballot",
-                format_args!(",\"how\":{how},\"image\":{},\"wave\":{}", vote.build, vote.stage),
+                format_args!(
+                    ",\"how\":{how},\"image\":{},\"wave\":{}",
+                    vote.build, vote.stage
+                ),
             );
         }
         for (whom, tidings) in self.balancer.tidings() {
             let whom = whom.map_or(-1, |w| w as i64);
             for contents in peers::write(&tidings, |node| self.nodes.word(node).to_owned()) {
                 let contents = Json::from(contents);
-                out.act("Notify", format_args!(",\"whom\":{whom},\"contents\":{contents}"));
+                out.act(
+                    "Notify",
+                    format_args!(",\"whom\":{whom},\"contents\":{contents}"),
+                );
             }
         }
-        out.act("SetAlarm", format_args!(",\"token\":0,\"offset_us\":{}", micros(review.again_in)));
+        out.act(
+            "SetAlarm",
+            format_args!(",\"token\":0,\"offset_us\":{}", micros(review.again_in)),
+        );
     }
 
     fn group(&self, message: &Message) -> Result<usize, String> {
         let name = message.text("class")?;
-        let unknown = || format!("{}: class: expected one of the settings, not '{name}'", message.name);
+        let unknown = || {
+            format!(
+                "{}: class: expected one of the settings, not '{name}'",
+                message.name
+            )
+        };
         self.groups.known(name).ok_or_else(unknown)
     }
 
@@ -130,8 +171,12 @@
         let account = message.text_or_none("account").ok().flatten();
         let arrival = Arrival {
             group: self.group(message)?,
-            key: message.text_or_none("path_key")?.map(|k| self.keys.index(k)),
-            account: account.and_then(|a| self.accounts.known(a)).unwrap_or(usize::MAX),
+            key: message
+                .text_or_none("path_key")?
+                .map(|k| self.keys.index(k)),
+            account: account
+                .and_then(|a| self.accounts.known(a))
+                .unwrap_or(usize::MAX),
             remaining: message.seconds("remaining_us")?,
             hint: message.seconds_or_0("work_hint_us")?,
             ..Arrival::default()
@@ -145,7 +190,11 @@
     fn returned(&mut self, message: &Message, now: f64, out: &mut Out) -> Result<(), String> {
         let id = message.whole("corr")?;
         let (ending, spent) = (message.ending()?, message.seconds("spent_us")?);
-        let end = Return { ending, spent, over: message.mark("done_flag")? };
+        let end = Return {
+            ending,
+            spent,
+            over: message.mark("done_flag")?,
+        };
         if let Some(handle) = self.hits.get(&id).copied() {
             let next = handle.returned(&mut self.balancer, now, end);
             self.carry_out(id, handle, next, out);
@@ -153,7 +202,12 @@
         Ok(())
     }
 
-    fn listed(&mut self, message: &Message, now: f64, lists: &HashMap<u64, Json>) -> Result<(), String> {
+    fn listed(
+        &mut self,
+        message: &Message,
+        now: f64,
+        lists: &HashMap<u64, Json>,
+    ) -> Result<(), String> {
         let (whole, fresh) = match message.text("mode")? {
             "failed" => {
                 self.balancer.list_failed(now);
@@ -162,14 +216,26 @@
             "full" => (true, true),
             "cached" => (true, false),
             "delta" => (false, true),
-            _ => return Err(format!("{}: mode: expected delta, full, cached or failed", message.name)),
+            _ => {
+                return Err(format!(
+                    "{}: mode: expected delta, full, cached or failed",
+                    message.name
+                ))
+            }
         };
         let list = lists.get(&message.whole("buffer")?);
-        let list = list.ok_or_else(|| format!("{}: buffer: expected the number of a list", message.name))?;
+        let list =
+            list.ok_or_else(|| format!("{}: buffer: expected the number of a list", message.name))?;
         let mut lines = Vec::new();
-        let list = Message { name: "Inventory", body: list };
+        let list = Message {
+            name: "Inventory",
+            body: list,
+        };
         for body in list.list("hosts")? {
-            let entry = Message { name: "Inventory: hosts", body };
+            let entry = Message {
+                name: "Inventory: hosts",
+                body,
+            };
             let word = entry.text("appliance")?;
             let node = self.nodes.index(word);
             self.codes.learn(word, node);
@@ -177,7 +243,9 @@
                 node,
                 open: entry.text("availability")? == "live",
                 build: entry.whole("build")? as u32,
-                zone: self.zones.index(entry.text_or_none("campus")?.unwrap_or("")),
+                zone: self
+                    .zones
+                    .index(entry.text_or_none("campus")?.unwrap_or("")),
                 cell: entry.number_or("cell", 0.0)? as i64,
                 rating: entry.number_or("rating", 1.0)?,
                 up_since: entry.seconds_or_0("up_since_us")?,
@@ -220,8 +288,10 @@
             "Bell" => match message.whole("token")? {
                 0 => self.review(now, out),
                 token => {
-                    if let Some((id, handle)) =
-                        self.waiting.remove(&token).and_then(|id| Some((id, *self.hits.get(&id)?)))
+                    if let Some((id, handle)) = self
+                        .waiting
+                        .remove(&token)
+                        .and_then(|id| Some((id, *self.hits.get(&id)?)))
                     {
                         let next = handle.resume(&mut self.balancer, now);
                         self.carry_out(id, handle, next, out);
@@ -247,7 +317,14 @@
                 let build = message.whole("image")? as u32;
                 let forwards = message.number_or("many", 0.0)? as u32;
                 let failed = message.number_or("not_ok", 0.0)? as u32;
-                self.balancer.tallied(now, Tally { build, forwards, failed });
+                self.balancer.tallied(
+                    now,
+                    Tally {
+                        build,
+                        forwards,
+                        failed,
+                    },
+                );
             }
             // Streams and checks are not asked for.
             "Headers" | "Sampled" => {}
@@ -267,12 +344,19 @@
 impl Process {
     /// Answers one batch.
     pub fn answer(&mut self, line: &str, reply: &mut String) -> Result<(), String> {
-        let batch: Json = serde_json::from_str(line).map_err(|e| format!("batch: expected JSON: {e}"))?;
-        let batch = Message { name: "batch", body: &batch };
+        let batch: Json =
+            serde_json::from_str(line).map_err(|e| format!("batch: expected JSON: {e}"))?;
+        let batch = Message {
+            name: "batch",
+            body: &batch,
+        };
         let now = batch.seconds("now_us")?;
         reply.push_str("{\"out\":[");
         for body in batch.list("items")? {
-            let message = Message { name: Message { name: "item", body }.text("t")?, body };
+            let message = Message {
+                name: Message { name: "item", body }.text("t")?,
+                body,
+            };
             if message.name == "Inventory" {
                 message.list("hosts")?;
                 self.lists.insert(message.whole("buffer")?, body.clone());
@@ -290,10 +374,14 @@
                     self.instances.remove(&who);
                 }
                 name => match self.instances.get_mut(&who) {
-                    Some(instance) if name == "Fleet" => instance.listed(&message, now, &self.lists)?,
+                    Some(instance) if name == "Fleet" => {
+                        instance.listed(&message, now, &self.lists)?
+                    }
                     Some(instance) => instance.event(&message, now, &mut out)?,
                     None => {
-                        return Err(format!("{name}: who: expected an instance that was started, not {who}"))
+                        return Err(format!(
+                            "{name}: who: expected an instance that was started, not {who}"
+                        ))
                     }
                 },
             }
@@ -309,8 +397,7 @@
 
     const SPAWN: &str = r#"{"t":"Spawn","who":3,"entropy":7,"info":{"zone":"z",
         "classes":[{"name":"read","repeat":"retryable","hard_limit_us":2000000}]}}"#;
-    const LIST: &str =
-        r#"{"t":"Inventory","buffer":0,"hosts":[{"appliance":"a \"b\"","availability":"live","build":41}]}"#;
+    const LIST: &str = r#"{"t":"Inventory","buffer":0,"hosts":[{"appliance":"a \"b\"","availability":"live","build":41}]}"#;
 
     fn answer(items: &str) -> Result<String, String> {
         let mut reply = String::new();
@@ -329,7 +416,9 @@
         let hit = r#"{"t":"NewRequest","who":3,"corr":9,"remaining_us":500000,"class":"read","new_field":1}"#;
         let reply = answer(&[SPAWN, LIST, fleet, hit].join(",")).expect("a reply");
         assert!(
-            reply.contains(r#"{"t":"Try","who":3,"corr":9,"appliance":"a \"b\"","limit_us":500000}"#),
+            reply.contains(
+                r#"{"t":"Try","who":3,"corr":9,"appliance":"a \"b\"","limit_us":500000}"#
+            ),
             "{reply}"
         );
     }
@@ -337,7 +426,8 @@
     #[test]
     fn a_kill_and_a_spawn_in_one_batch_start_empty() {
         let kill = r#"{"t":"Kill","who":3}"#;
-        let gone = r#"{"t":"Returned","who":3,"corr":9,"send_no":0,"result":"served","spent_us":1}"#;
+        let gone =
+            r#"{"t":"Returned","who":3,"corr":9,"send_no":0,"result":"served","spent_us":1}"#;
         assert!(answer(&[SPAWN, kill, SPAWN, gone].join(",")).is_ok());
     }
 
@@ -349,8 +439,14 @@
             "Bell: who: expected an instance that was started, not 1"
         );
         let hit = r#"{"t":"NewRequest","who":3,"corr":-9,"remaining_us":500000,"class":"read"}"#;
-        assert_eq!(told(&[SPAWN, hit].join(",")), "NewRequest: corr: expected a whole number, 0 or more");
-        assert_eq!(told(&[SPAWN, r#"{"t":"Nod","who":3}"#].join(",")), "Nod: expected a message of the wire");
+        assert_eq!(
+            told(&[SPAWN, hit].join(",")),
+            "NewRequest: corr: expected a whole number, 0 or more"
+        );
+        assert_eq!(
+            told(&[SPAWN, r#"{"t":"Nod","who":3}"#].join(",")),
+            "Nod: expected a message of the wire"
+        );
         let bare = r#"{"t":"Spawn","who":3,"entropy":7,"info":{}}"#;
         assert_eq!(told(bare), "Spawn: info: classes: expected at least one");
     }
--- a/tools/bench-adapter/src/main.rs
+++ b/tools/bench-adapter/src/main.rs
@@ -27,7 +27,9 @@
         }
         reply.clear();
         process.answer(&line, &mut reply)?;
-        let written = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+        let written = output
+            .write_all(reply.as_bytes())
+            .and_then(|()| output.flush());
         written.map_err(|e| format!("reply: could not be written: {e}"))?;
     }
 }
--- a/tools/bench-adapter/src/peers.rs
+++ b/tools/bench-adapter/src/peers.rs
@@ -16,9 +16,9 @@
 
 /// The first 30 bits of a word's FNV-1a hash.
 fn code(word: &str) -> u64 {
-    let hash = word
-        .bytes()
-        .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3));
+    let hash = word.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
+    });
     hash >> 34
 }
 
@@ -36,7 +36,14 @@
     let from = out.len();
     loop {
         let digit = (n % 36) as u8;
-        out.insert(from, char::from(if digit < 10 { b'0' + digit } else { b'a' + digit - 10 }));
+        out.insert(
+            from,
+            char::from(if digit < 10 {
+                b'0' + digit
+            } else {
+                b'a' + digit - 10
+            }),
+        );
         n /= 36;
         if n == 0 {
             return;
@@ -51,7 +58,8 @@
 }
 
 fn read(part: Option<&str>) -> Option<u64> {
-    part.filter(|p| p.len() <= 12).and_then(|p| u64::from_str_radix(p, 36).ok())
+    part.filter(|p| p.len() <= 12)
+        .and_then(|p| u64::from_str_radix(p, 36).ok())
 }
 
 fn read_hundredths(part: Option<&str>) -> Option<f64> {
@@ -62,7 +70,11 @@
 /// The messages for these tidings: as many as their length asks for.
 pub fn write(tidings: &Tidings, word: impl Fn(usize) -> String) -> Vec<String> {
     let mut head = format!("{VERSION} ");
-    for n in [u64::from(tidings.start), u64::from(tidings.build), tidings.stage as u64] {
+    for n in [
+        u64::from(tidings.start),
+        u64::from(tidings.build),
+        tidings.stage as u64,
+    ] {
         base36(n, &mut head);
         head.push(' ');
     }
@@ -70,10 +82,21 @@
     head.push_str(tidings.doubt.map_or("", |d| if d { " y" } else { " n" }));
     let mut out = vec![head.clone()];
     for (node, group, t) in &tidings.totals {
-        let counts = [t.answers, t.faults, t.outcomes, t.pulls, t.in_time, t.complaints, t.times];
+        let counts = [
+            t.answers,
+            t.faults,
+            t.outcomes,
+            t.pulls,
+            t.in_time,
+            t.complaints,
+            t.times,
+        ];
         let mut part = String::from('+');
         base36(code(&word(*node)), &mut part);
-        let numbers = [*group as u64].into_iter().chain(counts.map(u64::from)).chain([hundredths(t.slow)]);
+        let numbers = [*group as u64]
+            .into_iter()
+            .chain(counts.map(u64::from))
+            .chain([hundredths(t.slow)]);
         for n in numbers {
             part.push('.');
             base36(n, &mut part);
@@ -112,7 +135,14 @@
     if fields.next().is_some() {
         return None;
     }
-    let mut tidings = Tidings { start, build, stage, informed, doubt, ..Tidings::default() };
+    let mut tidings = Tidings {
+        start,
+        build,
+        stage,
+        informed,
+        doubt,
+        ..Tidings::default()
+    };
     for part in parts {
         let mut numbers = part.split('.');
         let node = codes.node(numbers.next());
@@ -121,7 +151,16 @@
         let [answers, faults, outcomes] = [count()?, count()?, count()?];
         let [pulls, in_time, complaints, times] = [count()?, count()?, count()?, count()?];
         let slow = read_hundredths(numbers.next())?;
-        let t = Totals { answers, faults, outcomes, pulls, in_time, complaints, times, slow };
+        let t = Totals {
+            answers,
+            faults,
+            outcomes,
+            pulls,
+            in_time,
+            complaints,
+            times,
+            slow,
+        };
         if numbers.next().is_some() {
             return None;
         }
@@ -136,14 +175,41 @@
 
     fn codes() -> Codes {
         let mut codes = Codes::default();
-        ["a", "b", "c"].iter().enumerate().for_each(|(i, w)| codes.learn(w, i));
+        ["a", "b", "c"]
+            .iter()
+            .enumerate()
+            .for_each(|(i, w)| codes.learn(w, i));
         codes
     }
 
     fn tidings(places: usize) -> Tidings {
-        let t = Totals { answers: 70, faults: 3, times: 9, slow: -1.25, ..Totals::default() };
-        let totals = (0..places).map(|i| (i % 3, i % 2, Totals { outcomes: i as u32, ..t })).collect();
-        Tidings { start: 99, build: 42, stage: 1, informed: true, doubt: Some(false), totals }
+        let t = Totals {
+            answers: 70,
+            faults: 3,
+            times: 9,
+            slow: -1.25,
+            ..Totals::default()
+        };
+        let totals = (0..places)
+            .map(|i| {
+                (
+                    i % 3,
+                    i % 2,
+                    Totals {
+                        outcomes: i as u32,
+                        ..t
+                    },
+                )
+            })
+            .collect();
+        Tidings {
+            start: 99,
+            build: 42,
+            stage: 1,
+            informed: true,
+            doubt: Some(false),
+            totals,
+        }
     }
 
     fn word(node: usize) -> String {
@@ -156,7 +222,10 @@
             let (told, messages) = (tidings(places), write(&tidings(places), word));
             assert!(messages.iter().all(|m| m.len() <= MOST), "{messages:?}");
             let read = messages.iter().map(|m| parse(m, &codes()).expect(m));
-            let mut all = Tidings { totals: vec![], ..told.clone() };
+            let mut all = Tidings {
+                totals: vec![],
+                ..told.clone()
+            };
             read.for_each(|t| all.totals.extend(t.totals));
             assert_eq!(all, told);
         }
@@ -172,12 +241,21 @@
                 let _ = parse(&good[..i], &codes());
             }
         }
-        for text in
-            ["", "2 1 1 1 y", "1 1 1 y", "1 1 1 1 y+0", "1 1 1 1 y!0.1", "1 1 1 1 x", "1 1 1 1 y y 0 0"]
-        {
+        for text in [
+            "",
+            "2 1 1 1 y",
+            "1 1 1 y",
+            "1 1 1 1 y+0",
+            "1 1 1 1 y!0.1",
+            "1 1 1 1 x",
+            "1 1 1 1 y y 0 0",
+        ] {
             assert_eq!(parse(text, &codes()), None, "{text}");
         }
-        assert_eq!(parse(&format!("1 1 1 1 y{}", " ".repeat(300)), &codes()), None);
+        assert_eq!(
+            parse(&format!("1 1 1 1 y{}", " ".repeat(300)), &codes()),
+            None
+        );
     }
 
     #[test]
@@ -185,7 +263,10 @@
         let mut codes = codes();
         let clash = codes.0.keys().copied().next().expect("a code");
         codes.0.insert(clash, None);
-        let read = write(&tidings(3), word).iter().filter_map(|m| parse(m, &codes)).collect::<Vec<_>>();
+        let read = write(&tidings(3), word)
+            .iter()
+            .filter_map(|m| parse(m, &codes))
+            .collect::<Vec<_>>();
         assert_eq!(read.iter().map(|t| t.totals.len()).sum::<usize>(), 2);
     }
 }
--- a/tools/proxy-simulation/src/appliance.rs
+++ b/tools/proxy-simulation/src/appliance.rs
@@ -86,16 +86,28 @@
 
 /// The bytes that belong to a request, and to no other.
 pub fn token(id: &str, method: &str, path: &str, body: &[u8]) -> String {
-    let sum = body.iter().fold(0u64, |sum, b| sum.wrapping_mul(31).wrapping_add(u64::from(*b)));
+    let sum = body.iter().fold(0u64, |sum, b| {
+        sum.wrapping_mul(31).wrapping_add(u64::from(*b))
+    });
     format!("{id}|{method}|{path}|{}:{sum}|", body.len())
 }
 
 fn answer(status: u16, id: &str, more: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status} X\r\nTry-Id: {id}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status} X\r\nTry-Id: {id}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// Serves one connection as appliance `own`, until it ends.
-pub async fn serve(mut end: End, own: String, connection: usize, mood: Mood, book: Book, mut dice: Dice) {
+pub async fn serve(
+    mut end: End,
+    own: String,
+    connection: usize,
+    mood: Mood,
+    book: Book,
+    mut dice: Dice,
+) {
     let mut reader = Reader::default();
     let mut kept = 5_000u64;
     let mut before: Option<String> = None;
@@ -114,8 +126,8 @@
             return;
         };
         let Ok(mut head) = head else { return };
-        let odd =
-            (mood.odd > 0 && dice.gen_ratio(1, mood.odd)).then(|| *ODD.choose(&mut dice).expect("some"));
+        let odd = (mood.odd > 0 && dice.gen_ratio(1, mood.odd))
+            .then(|| *ODD.choose(&mut dice).expect("some"));
         let id = head.field("try-id").unwrap_or("").to_owned();
         if odd == Some(Odd::AwayEarly) {
             book.met("turned away early");
@@ -174,15 +186,21 @@
             }
         }
         book.open().at_work.remove(&connection);
-        if !respond(&mut end, &head, &id, &own, odd, &mut kept, &before, &book, &mut dice).await {
+        if !respond(
+            &mut end, &head, &id, &own, odd, &mut kept, &before, &book, &mut dice,
+        )
+        .await
+        {
             if odd == Some(Odd::ResetAfter) {
                 end.reset();
             }
             return;
         }
         before = Some(id);
-        foul |=
-            matches!(odd, Some(Odd::DoubledLate | Odd::Stale | Odd::Swapped | Odd::Doubled | Odd::Garbage));
+        foul |= matches!(
+            odd,
+            Some(Odd::DoubledLate | Odd::Stale | Odd::Swapped | Odd::Doubled | Odd::Garbage)
+        );
     }
 }
 
@@ -216,7 +234,12 @@
     };
     let whole = shown(answer(200, id, "Postmark: p\r\n", &body));
     let other = before.clone().unwrap_or_else(|| "zz".into());
-    let foreign = shown(answer(200, &other, "Postmark: p\r\n", &token(&other, "GET", "/safe/zz", b"")));
+    let foreign = shown(answer(
+        200,
+        &other,
+        "Postmark: p\r\n",
+        &token(&other, "GET", "/safe/zz", b""),
+    ));
     let (text, goes_on) = match odd {
         None => (whole, true),
         Some(odd) => {
@@ -237,7 +260,8 @@
                 Odd::Stale => (foreign + &whole, true),
                 Odd::Swapped => (foreign, true),
                 Odd::Interim => (
-                    "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nX: y\r\n\r\n".to_owned() + &whole,
+                    "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nX: y\r\n\r\n".to_owned()
+                        + &whole,
                     true,
                 ),
                 Odd::Silent => {
@@ -245,15 +269,25 @@
                     return false;
                 }
                 Odd::ResetAfter => return false,
-                Odd::Closes => (whole.replacen("\r\n", "\r\nConnection: close\r\n", 1), false),
+                Odd::Closes => (
+                    whole.replacen("\r\n", "\r\nConnection: close\r\n", 1),
+                    false,
+                ),
                 Odd::Endless => (whole.replacen("Content-Length", "X-Length", 1), false),
-                Odd::Encoded => (whole.replacen("\r\n", "\r\nContent-Encoding: gzip\r\n", 1), true),
+                Odd::Encoded => (
+                    whole.replacen("\r\n", "\r\nContent-Encoding: gzip\r\n", 1),
+                    true,
+                ),
                 Odd::Nameless => (whole.replacen("Try-Id", "X-Id", 1), true),
                 Odd::Unstamped => (whole.replacen("Postmark", "X-Mark", 1), true),
                 Odd::Keeps => {
                     *kept = dice.gen_range(1..4) * 1000;
                     (
-                        whole.replacen("\r\n", &format!("\r\nKeep-Alive: timeout={}\r\n", *kept / 1000), 1),
+                        whole.replacen(
+                            "\r\n",
+                            &format!("\r\nKeep-Alive: timeout={}\r\n", *kept / 1000),
+                            1,
+                        ),
                         true,
                     )
                 }
--- a/tools/proxy-simulation/src/book.rs
+++ b/tools/proxy-simulation/src/book.rs
@@ -97,7 +97,10 @@
 
 impl Book {
     pub fn new() -> Book {
-        Book { pages: Arc::default(), begun: Instant::now() }
+        Book {
+            pages: Arc::default(),
+            begun: Instant::now(),
+        }
     }
 
     pub fn open(&self) -> MutexGuard<'_, Pages> {
@@ -110,7 +113,9 @@
 
     pub fn wrong(&self, what: String) {
         let now = self.now();
-        self.open().wrong.push(format!("{:.3} s: {what}", now as f64 / 1e6));
+        self.open()
+            .wrong
+            .push(format!("{:.3} s: {what}", now as f64 / 1e6));
     }
 
     pub fn met(&self, what: &'static str) {
@@ -120,7 +125,12 @@
     /// The newest arrival on a connection.
     pub fn arrival(&self, connection: usize, note: impl FnOnce(&mut Arrival)) {
         let mut pages = self.open();
-        if let Some(arrival) = pages.arrivals.iter_mut().rev().find(|a| a.connection == connection) {
+        if let Some(arrival) = pages
+            .arrivals
+            .iter_mut()
+            .rev()
+            .find(|a| a.connection == connection)
+        {
             note(arrival);
         }
     }
@@ -151,21 +161,36 @@
             return;
         }
         let Some((head, len)) = plain::head(offered) else {
-            self.book.wrong(format!("no head: {:?}", String::from_utf8_lossy(offered)));
+            self.book
+                .wrong(format!("no head: {:?}", String::from_utf8_lossy(offered)));
             return;
         };
-        let length: usize = head.field("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+        let length: usize = head
+            .field("content-length")
+            .and_then(|l| l.parse().ok())
+            .unwrap_or(0);
         self.left = len + length - taken.min(len + length);
         let id = head.field("try-id").unwrap_or("").to_owned();
         let path = head.first.split(' ').nth(1).unwrap_or("").to_owned();
         let addressee = head.field("addressee").unwrap_or("");
         if addressee != self.listed.id {
-            self.book.wrong(format!("{id} for {addressee} on a connection to {}", self.listed.id));
+            self.book.wrong(format!(
+                "{id} for {addressee} on a connection to {}",
+                self.listed.id
+            ));
         }
         let mut pages = self.book.open();
-        let Listing { service, version, .. } = &self.listed;
-        let old = pages.stands.get(service).is_some_and(|(v, since)| v != version && at > since + AT_ONCE);
-        let closed = pages.listed.get(&self.address).is_none_or(|l| l.id != self.listed.id || !l.open);
+        let Listing {
+            service, version, ..
+        } = &self.listed;
+        let old = pages
+            .stands
+            .get(service)
+            .is_some_and(|(v, since)| v != version && at > since + AT_ONCE);
+        let closed = pages
+            .listed
+            .get(&self.address)
+            .is_none_or(|l| l.id != self.listed.id || !l.open);
         pages.arrivals.push(Arrival {
             id: id.clone(),
             once: path.starts_with("/once/"),
@@ -179,11 +204,16 @@
         drop(pages);
         if old {
             let stands = self.book.open().stands.clone();
-            self.book
-                .wrong(format!("{id} to {:?}, of a version that does not stand: {stands:?}", self.listed));
+            self.book.wrong(format!(
+                "{id} to {:?}, of a version that does not stand: {stands:?}",
+                self.listed
+            ));
         }
         if closed {
-            self.book.wrong(format!("{id} to {}, which closes or is gone", self.listed.id));
+            self.book.wrong(format!(
+                "{id} to {}, which closes or is gone",
+                self.listed.id
+            ));
         }
     }
 }
--- a/tools/proxy-simulation/src/client.rs
+++ b/tools/proxy-simulation/src/client.rs
@@ -24,9 +24,17 @@
 
 impl Request {
     fn bytes(&self) -> Vec<u8> {
-        let Request { id, method, path, body, left_ms, .. } = self;
-        let head =
-            format!("{method} {path} HTTP/1.1\r\nHost: h\r\nTry-Id: {id}\r\nTime-Left-Ms: {left_ms}\r\n");
+        let Request {
+            id,
+            method,
+            path,
+            body,
+            left_ms,
+            ..
+        } = self;
+        let head = format!(
+            "{method} {path} HTTP/1.1\r\nHost: h\r\nTry-Id: {id}\r\nTime-Left-Ms: {left_ms}\r\n"
+        );
         if self.chunked {
             let mut bytes = (head + "Transfer-Encoding: chunked\r\n\r\n").into_bytes();
             for piece in body.chunks(700) {
@@ -37,7 +45,11 @@
         }
         match body.is_empty() && *method != "POST" {
             true => (head + "\r\n").into_bytes(),
-            false => [format!("{head}Content-Length: {}\r\n\r\n", body.len()).as_bytes(), body].concat(),
+            false => [
+                format!("{head}Content-Length: {}\r\n\r\n", body.len()).as_bytes(),
+                body,
+            ]
+            .concat(),
         }
     }
 }
@@ -59,8 +71,9 @@
                 None => {
                     let kind = dice.gen_range(0..4);
                     let several = if kind == 0 { 1 } else { dice.gen_range(1..5) };
-                    let which =
-                        |i: usize, dice: &mut Dice| kind == 0 && dice.gen() || kind == 3 && i % 2 == 1;
+                    let which = |i: usize, dice: &mut Dice| {
+                        kind == 0 && dice.gen() || kind == 3 && i % 2 == 1
+                    };
                     let fresh = |i, dice: &mut Dice| {
                         made += 1;
                         request(&world, format!("c{number}-{made}"), which(i, dice), dice)
@@ -73,8 +86,10 @@
                 Then::On => {}
                 Then::Ended => break,
                 Then::Left(how) => {
-                    let orders: Vec<&Request> =
-                        requests.iter().filter(|r| r.path.starts_with("/once/")).collect();
+                    let orders: Vec<&Request> = requests
+                        .iter()
+                        .filter(|r| r.path.starts_with("/once/"))
+                        .collect();
                     if !orders.is_empty() && dice.gen() {
                         back = Some(orders[dice.gen_range(0..orders.len())].clone());
                         world.book.met("client back with the same id");
@@ -107,8 +122,19 @@
         false if dice.gen_ratio(1, 5) => "HEAD",
         false => "GET",
     };
-    let left_ms = if world.calm { 9_000 } else { dice.gen_range(20..3_000) };
-    Request { id, method, path, chunked: bodied && dice.gen_ratio(1, 3), body, left_ms }
+    let left_ms = if world.calm {
+        9_000
+    } else {
+        dice.gen_range(20..3_000)
+    };
+    Request {
+        id,
+        method,
+        path,
+        chunked: bodied && dice.gen_ratio(1, 3),
+        body,
+        left_ms,
+    }
 }
 
 enum Then {
@@ -154,14 +180,22 @@
         Ok(then) => then,
         Err(_) => {
             world.book.met("client left");
-            requests.iter().for_each(|r| note(world, r, |s| s.left = true));
+            requests
+                .iter()
+                .for_each(|r| note(world, r, |s| s.left = true));
             Then::Left(by_reset)
         }
     }
 }
 
 fn note(world: &World, request: &Request, change: impl FnOnce(&mut Sent)) {
-    if let Some(sent) = world.book.open().sent.get_mut(&request.id).and_then(|s| s.last_mut()) {
+    if let Some(sent) = world
+        .book
+        .open()
+        .sent
+        .get_mut(&request.id)
+        .and_then(|s| s.last_mut())
+    {
         change(sent);
     }
 }
@@ -210,7 +244,12 @@
 
 async fn hear(world: &World, near: &mut End, reader: &mut Reader, request: &Request) -> Heard {
     let (id, book) = (&request.id, &world.book);
-    let due = book.open().sent.get(id).and_then(|s| s.last()).map_or(0, |s| s.due.max(s.last.unwrap_or(0)));
+    let due = book
+        .open()
+        .sent
+        .get(id)
+        .and_then(|s| s.last())
+        .map_or(0, |s| s.due.max(s.last.unwrap_or(0)));
     let patience = due.saturating_sub(book.now()) + 2_500_000;
     let answer = timeout(Duration::from_micros(patience), async {
         loop {
@@ -219,7 +258,10 @@
                 continue;
             }
             if request.method != "HEAD" {
-                reader.body(near, &mut answer).await.map_err(|_| NoMore::Broken)?;
+                reader
+                    .body(near, &mut answer)
+                    .await
+                    .map_err(|_| NoMore::Broken)?;
             }
             return Ok::<_, NoMore>(answer);
         }
@@ -228,7 +270,11 @@
         Ok(Ok(answer)) => answer,
         Ok(Err(how)) => {
             let pages = book.open();
-            let unsent = pages.sent.get(id).and_then(|s| s.last()).is_none_or(|s| s.last.is_none() || s.left);
+            let unsent = pages
+                .sent
+                .get(id)
+                .and_then(|s| s.last())
+                .is_none_or(|s| s.last.is_none() || s.left);
             let arrived = pages.arrivals.iter().any(|a| a.id == *id);
             let leaving = pages.leaves.is_some();
             drop(pages);
@@ -252,7 +298,10 @@
     let (status, own) = (answer.status(), answer.field("try-id").is_none());
     note(world, request, |s| s.answer = Some((status, own)));
     if answer.field("try-id").is_some_and(|t| t != id) {
-        book.wrong(format!("{id} got the answer of {:?}", answer.field("try-id")));
+        book.wrong(format!(
+            "{id} got the answer of {:?}",
+            answer.field("try-id")
+        ));
     }
     if own && !matches!(status, 400 | 404 | 408 | 409 | 413 | 431 | 502 | 503 | 504) {
         book.wrong(format!("{id} got {} of nobody's", answer.first));
@@ -280,7 +329,11 @@
 /// Rests for a part, up to four fifths, of what is allowed as far as is known by then; whether the connection is still
 /// there.
 async fn rest(world: &World, near: &mut End, dice: &mut Dice) -> bool {
-    let part = if dice.gen_ratio(1, 3) { dice.gen_range(0.0..0.8) } else { dice.gen_range(0.0..0.01) };
+    let part = if dice.gen_ratio(1, 3) {
+        dice.gen_range(0.0..0.8)
+    } else {
+        dice.gen_range(0.0..0.01)
+    };
     let begun = world.book.now();
     let mut byte = [0];
     loop {
@@ -289,11 +342,16 @@
         if left == 0 {
             return true;
         }
-        if let Ok(read) = timeout(Duration::from_micros(left.min(50_000)), near.read(&mut byte)).await {
+        if let Ok(read) = timeout(
+            Duration::from_micros(left.min(50_000)),
+            near.read(&mut byte),
+        )
+        .await
+        {
             if !world.leaving() {
-                world
-                    .book
-                    .wrong(format!("{read:?} on a connection that has rested for {rested} of {idle} us"));
+                world.book.wrong(format!(
+                    "{read:?} on a connection that has rested for {rested} of {idle} us"
+                ));
             }
             return false;
         }
--- a/tools/proxy-simulation/src/main.rs
+++ b/tools/proxy-simulation/src/main.rs
@@ -5,7 +5,10 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let numbers: Vec<u64> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
+    let numbers: Vec<u64> = std::env::args()
+        .skip(1)
+        .filter_map(|a| a.parse().ok())
+        .collect();
     let [from, many] = numbers[..] else {
         eprintln!("Expected: proxy-simulation FROM HOW_MANY, two numbers.");
         return ExitCode::from(2);
@@ -14,15 +17,24 @@
     let (mut requests, mut arrivals, mut served) = (0, 0, 0);
     for seed in from..from + many {
         let played = play(seed);
-        (requests, arrivals, served) =
-            (requests + played.requests, arrivals + played.arrivals, served + played.served);
-        played.met.iter().for_each(|(what, times)| *met.entry(what).or_default() += times);
+        (requests, arrivals, served) = (
+            requests + played.requests,
+            arrivals + played.arrivals,
+            served + played.served,
+        );
+        played
+            .met
+            .iter()
+            .for_each(|(what, times)| *met.entry(what).or_default() += times);
         if let Some(first) = played.wrong.first() {
             bad += 1;
             println!("seed {seed}: {} wrong; {first}", played.wrong.len());
         }
     }
-    println!("{many} plays, {bad} wrong: {requests} requests, {arrivals} forwards, {served} served");
-    met.iter().for_each(|(what, times)| println!("{times:>8} {what}"));
+    println!(
+        "{many} plays, {bad} wrong: {requests} requests, {arrivals} forwards, {served} served"
+    );
+    met.iter()
+        .for_each(|(what, times)| println!("{times:>8} {what}"));
     ExitCode::from(u8::from(bad > 0))
 }
--- a/tools/proxy-simulation/src/plain.rs
+++ b/tools/proxy-simulation/src/plain.rs
@@ -15,16 +15,24 @@
 
 impl Message {
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.fields
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// The status of an answer.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0)
     }
 
     pub fn closes(&self) -> bool {
-        self.field("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"))
+        self.field("connection")
+            .is_some_and(|c| c.eq_ignore_ascii_case("close"))
     }
 }
 
@@ -35,8 +43,17 @@
     let mut lines = text.split("\r\n");
     let first = lines.next().unwrap_or("").to_owned();
     let fields = lines.filter_map(|line| line.split_once(':'));
-    let fields = fields.map(|(name, value)| (name.to_lowercase(), value.trim().to_owned())).collect();
-    Some((Message { first, fields, ..Message::default() }, len))
+    let fields = fields
+        .map(|(name, value)| (name.to_lowercase(), value.trim().to_owned()))
+        .collect();
+    Some((
+        Message {
+            first,
+            fields,
+            ..Message::default()
+        },
+        len,
+    ))
 }
 
 /// What is read off a connection so far.
@@ -88,14 +105,19 @@
                 while self.held.len() < at + 2 + size + 2 {
                     self.more(end).await.map_err(broken)?;
                 }
-                message.body.extend_from_slice(&self.held[at + 2..at + 2 + size]);
+                message
+                    .body
+                    .extend_from_slice(&self.held[at + 2..at + 2 + size]);
                 self.held.drain(..at + 2 + size + 2);
                 if size == 0 {
                     return Ok(());
                 }
             }
         }
-        let length = message.field("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+        let length = message
+            .field("content-length")
+            .and_then(|l| l.parse().ok())
+            .unwrap_or(0);
         while self.held.len() < length {
             if let Err(no_more) = self.more(end).await.map_err(broken) {
                 message.cut = true;
--- a/tools/proxy-simulation/src/play.rs
+++ b/tools/proxy-simulation/src/play.rs
@@ -64,7 +64,10 @@
     /// A client has connected.
     pub fn serve(&self, far: End) {
         let task = tokio::spawn(request_handler::connection(self.counter.clone(), far));
-        self.served.lock().unwrap_or_else(PoisonError::into_inner).push(task);
+        self.served
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(task);
     }
 }
 
@@ -103,7 +106,11 @@
         mood: Mood {
             odd: some(dice, [0, 2, 4, 10]),
             forgets: some(dice, [0, 0, 2, 6]),
-            work: if calm { 100 } else { [30, 200, 600, 2_500][dice.gen_range(0..4)] },
+            work: if calm {
+                100
+            } else {
+                [30, 200, 600, 2_500][dice.gen_range(0..4)]
+            },
         },
         late: [0, 3, 10, 40][dice.gen_range(0..4)],
         dark: some(dice, [0, 0, 3, 8]),
@@ -127,15 +134,27 @@
 
 async fn change(counter: &Counter, book: &Book, number: u64, give_up: u64, dice: &mut Dice) {
     let service = |dice: &mut Dice| if dice.gen() { "s" } else { "t" };
-    let (safe, once, idle) = (service(dice), service(dice), [4_000, 9_000, 15_000][dice.gen_range(0..3)]);
-    let to = [("/safe/", safe), ("/once/", once)].map(|(prefix, to)| (prefix.to_owned(), to.to_owned()));
+    let (safe, once, idle) = (
+        service(dice),
+        service(dice),
+        [4_000, 9_000, 15_000][dice.gen_range(0..3)],
+    );
+    let to =
+        [("/safe/", safe), ("/once/", once)].map(|(prefix, to)| (prefix.to_owned(), to.to_owned()));
     book.open().idle = idle * 1000;
     if number > 1 {
         sleep(Duration::from_millis(dice.gen_range(0..BEHIND))).await;
     }
-    counter.take_edition(&Kept { number, text: edition(number, safe, once, give_up, idle).into() });
+    counter.take_edition(&Kept {
+        number,
+        text: edition(number, safe, once, give_up, idle).into(),
+    });
     let at = book.now();
-    book.open().editions.push(InForce { at, number, to: to.into() });
+    book.open().editions.push(InForce {
+        at,
+        number,
+        to: to.into(),
+    });
 }
 
 /// An appliance's version, by its place.
@@ -161,22 +180,32 @@
 
 /// Tells the counter of one appliance: an open one, a closing one, or that it is gone.
 fn tell(counter: &Counter, book: &Book, id: &str, service: &str, place: u8, state: Option<State>) {
-    let entries = vec![(id.into(), state.map(|state| entry(service, address(place), state)))];
+    let entries = vec![(
+        id.into(),
+        state.map(|state| entry(service, address(place), state)),
+    )];
     {
         let mut pages = book.open();
         let open = state == Some(State::Ready);
         if open {
             pages.there.insert(address(place), id.into());
         }
-        let new =
-            Listing { id: id.into(), service: service.into(), version: version(address(place)).into(), open };
+        let new = Listing {
+            id: id.into(),
+            service: service.into(),
+            version: version(address(place)).into(),
+            open,
+        };
         match pages.listed.get_mut(&address(place)) {
             Some(old) if old.id == id => *old = new,
             Some(_) if !open => {}
             _ => drop(pages.listed.insert(address(place), new)),
         }
     }
-    counter.take_listing(&Told { whole: false, entries });
+    counter.take_listing(&Told {
+        whole: false,
+        entries,
+    });
 }
 
 /// The list changes: appliances close, are gone, and others take their places, at new addresses or theirs.
@@ -195,7 +224,9 @@
         born += 1;
         if dice.gen_ratio(1, 4) {
             // Another one is at its address before that is told.
-            book.open().there.insert(address(place), format!("i-{born}"));
+            book.open()
+                .there
+                .insert(address(place), format!("i-{born}"));
             sleep(Duration::from_millis(dice.gen_range(0..200))).await;
         }
         tell(&counter, &book, &id, service, place, None);
@@ -234,20 +265,35 @@
                 return Err(std::io::ErrorKind::TimedOut.into());
             }
             sleep(Duration::from_micros(pause)).await;
-            let Some(listed) = listed else { return Err(std::io::ErrorKind::ConnectionRefused.into()) };
+            let Some(listed) = listed else {
+                return Err(std::io::ErrorKind::ConnectionRefused.into());
+            };
             let connection = {
                 let mut pages = book.open();
                 pages.connections += 1;
                 pages.connections
             };
-            let own = book.open().there.get(&to).cloned().unwrap_or_else(|| listed.id.clone());
-            let noted = Noted { book: book.clone(), connection, address: to, listed, left: 0 };
+            let own = book
+                .open()
+                .there
+                .get(&to)
+                .cloned()
+                .unwrap_or_else(|| listed.id.clone());
+            let noted = Noted {
+                book: book.clone(),
+                connection,
+                address: to,
+                listed,
+                left: 0,
+            };
             let (near, far) = pair(&mut dice, plot.late, Some(Box::new(noted)));
             if plot.torn > 0 && dice.gen_ratio(1, plot.torn) {
                 book.met("reset in the middle of a request");
                 far.reset_after(dice.gen_range(1..2_000));
             }
-            tokio::spawn(appliance::serve(far, own, connection, plot.mood, book, dice));
+            tokio::spawn(appliance::serve(
+                far, own, connection, plot.mood, book, dice,
+            ));
             Ok(Box::new(near) as Box<dyn Stream>)
         })
     })
@@ -260,10 +306,15 @@
         let service = if dice.gen() { "s" } else { "t" };
         let to = if dice.gen() { "v1" } else { "v2" };
         let since = book.now();
-        book.open().stands.insert(service.into(), (to.into(), since));
+        book.open()
+            .stands
+            .insert(service.into(), (to.into(), since));
         counter.take_standings(vec![(
             service.into(),
-            Standing { version: Some(to.into()), ..Standing::default() },
+            Standing {
+                version: Some(to.into()),
+                ..Standing::default()
+            },
         )]);
         book.met("version changed");
     }
@@ -280,7 +331,10 @@
 }
 
 fn played_by(seed: u64, versions: bool) -> Played {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     runtime.expect("a runtime").block_on(played(seed, versions))
 }
 
@@ -290,21 +344,44 @@
     let book = Book::new();
     let machine = Arc::new(Machine::read(MACHINE).expect("sound settings"));
     let held = tokio::sync::watch::channel(machine);
-    let counter = Arc::new(Counter::new(held.1, seed, dial(book.clone(), plot, chance.gen())));
-    let give_up = if plot.calm { 9_000 } else { [300, 1_500, 4_000][chance.gen_range(0..3)] };
+    let counter = Arc::new(Counter::new(
+        held.1,
+        seed,
+        dial(book.clone(), plot, chance.gen()),
+    ));
+    let give_up = if plot.calm {
+        9_000
+    } else {
+        [300, 1_500, 4_000][chance.gen_range(0..3)]
+    };
     change(&counter, &book, 1, give_up, &mut chance).await;
     for (place, service) in [(1, "s"), (2, "s"), (3, "t"), (4, "t")] {
-        tell(&counter, &book, &format!("i-{place}"), service, place, Some(State::Ready));
+        tell(
+            &counter,
+            &book,
+            &format!("i-{place}"),
+            service,
+            place,
+            Some(State::Ready),
+        );
     }
     counter.confirmed();
     counter.heard_counters(1);
     counter.confirmed();
     let mut beside = vec![tokio::spawn(swept(counter.clone()))];
     if versions && !plot.calm {
-        beside.push(tokio::spawn(moves(counter.clone(), book.clone(), dice(!seed))));
+        beside.push(tokio::spawn(moves(
+            counter.clone(),
+            book.clone(),
+            dice(!seed),
+        )));
     }
     if plot.lists {
-        beside.push(tokio::spawn(lists(counter.clone(), book.clone(), dice(chance.gen()))));
+        beside.push(tokio::spawn(lists(
+            counter.clone(),
+            book.clone(),
+            dice(chance.gen()),
+        )));
     }
     if plot.changes {
         let (counter, book, mut dice) = (counter.clone(), book.clone(), dice(chance.gen()));
@@ -334,8 +411,9 @@
         counter: counter.clone(),
         served: Mutex::default(),
     });
-    let clients: Vec<JoinHandle<()>> =
-        (0..plot.clients).map(|n| tokio::spawn(client::run(world.clone(), n, dice(chance.gen())))).collect();
+    let clients: Vec<JoinHandle<()>> = (0..plot.clients)
+        .map(|n| tokio::spawn(client::run(world.clone(), n, dice(chance.gen()))))
+        .collect();
     for client in clients {
         if client.await.is_err() {
             book.wrong("a client broke".into());
@@ -357,10 +435,21 @@
         let now = book.now();
         let mut pages = book.open();
         let early = pages.leaves.is_some_and(|l| now < l + GRACE / 2);
-        let Pages { at_work, sent, wrong, .. } = &mut *pages;
+        let Pages {
+            at_work,
+            sent,
+            wrong,
+            ..
+        } = &mut *pages;
         for id in at_work.values().filter(|_| early) {
-            if sent.get(id).and_then(|s| s.first()).is_some_and(|s| now + 1_000 < s.due) {
-                wrong.push(format!("{id} was broken off at work by the end of the process"));
+            if sent
+                .get(id)
+                .and_then(|s| s.first())
+                .is_some_and(|s| now + 1_000 < s.due)
+            {
+                wrong.push(format!(
+                    "{id} was broken off at work by the end of the process"
+                ));
             }
         }
     } else {
@@ -371,7 +460,11 @@
     let mut pages = book.open();
     let wrong = checked(&pages);
     pages.wrong.extend(wrong);
-    let answers = pages.sent.values().flatten().filter(|s| s.answer.is_some_and(|(status, _)| status == 200));
+    let answers = pages
+        .sent
+        .values()
+        .flatten()
+        .filter(|s| s.answer.is_some_and(|(status, _)| status == 200));
     Played {
         requests: pages.sent.values().map(|s| s.len() as u64).sum(),
         arrivals: pages.arrivals.len() as u64,
@@ -399,23 +492,42 @@
         let once = arrivals[0].once;
         let open = arrivals.iter().position(|a| a.cleared.is_none());
         if let Some(open) = open.filter(|open| once && open + 1 < arrivals.len()) {
-            wrong.push(format!("{id} may run once only and was sent on after {:?}", arrivals[open]));
+            wrong.push(format!(
+                "{id} may run once only and was sent on after {:?}",
+                arrivals[open]
+            ));
         }
-        let promised = all.iter().filter_map(|s| s.answer).find(|(s, _)| matches!(s, 408 | 421 | 429 | 503));
+        let promised = all
+            .iter()
+            .filter_map(|s| s.answer)
+            .find(|(s, _)| matches!(s, 408 | 421 | 429 | 503));
         if let (true, Some(_), Some((status, _))) = (once, open, promised) {
             wrong.push(format!("{id} was answered with {status}, and may have run"));
         }
         if all.iter().all(|s| s.unread) {
-            wrong.push(format!("{id} was passed on behind an answer that closes: {:?}", arrivals[0]));
+            wrong.push(format!(
+                "{id} was passed on behind an answer that closes: {:?}",
+                arrivals[0]
+            ));
         }
         // Time counts from when its head was read: a moment after its last byte was sent, at the latest.
-        let due = all.iter().map(|s| s.last.unwrap_or(s.first) + s.span).max().unwrap_or(0) + 5_000;
+        let due = all
+            .iter()
+            .map(|s| s.last.unwrap_or(s.first) + s.span)
+            .max()
+            .unwrap_or(0)
+            + 5_000;
         if let Some(late) = arrivals.iter().find(|a| a.at > due) {
             wrong.push(format!("{id} was passed on after {due}: {late:?}"));
         }
-        let known = arrivals.iter().all(|a| a.cleared.is_some_and(|at| at + 50_000 < due));
+        let known = arrivals
+            .iter()
+            .all(|a| a.cleared.is_some_and(|at| at + 50_000 < due));
         if known && all.len() == 1 && matches!(all[0].answer, Some((502 | 504, true))) {
-            wrong.push(format!("{id} never ran, and was answered as if it might have: {:?}", all[0]));
+            wrong.push(format!(
+                "{id} never ran, and was answered as if it might have: {:?}",
+                all[0]
+            ));
         }
         if all.len() == 1 {
             arrivals
@@ -426,23 +538,43 @@
     }
     for (id, all) in &pages.sent {
         let never = !by_id.contains_key(id.as_str());
-        let failed = all.iter().any(|s| matches!(s.answer, Some((502 | 504, true))));
+        let failed = all
+            .iter()
+            .any(|s| matches!(s.answer, Some((502 | 504, true))));
         if never && failed && all.len() == 1 {
-            wrong.push(format!("{id} was answered as if it might have run: {:?}", all[0]));
+            wrong.push(format!(
+                "{id} was answered as if it might have run: {:?}",
+                all[0]
+            ));
         }
     }
     wrong
 }
 
 /// Whether a request went where only an edition allowed that was not in force any more.
-fn outdated(pages: &Pages, sent: &crate::book::Sent, arrival: &crate::book::Arrival) -> Option<String> {
+fn outdated(
+    pages: &Pages,
+    sent: &crate::book::Sent,
+    arrival: &crate::book::Arrival,
+) -> Option<String> {
     let from = sent.last.unwrap_or(sent.first);
     let mut allowed = BTreeSet::new();
     for (i, edition) in pages.editions.iter().enumerate() {
-        let until = pages.editions.get(i + 1).map_or(Micros::MAX, |next| next.at);
-        if edition.at <= arrival.at && until >= from && arrival.at <= until.saturating_add(OVERTAKEN) {
-            allowed
-                .extend(edition.to.iter().filter(|(p, _)| arrival.id_path_begins(p)).map(|(_, s)| s.clone()));
+        let until = pages
+            .editions
+            .get(i + 1)
+            .map_or(Micros::MAX, |next| next.at);
+        if edition.at <= arrival.at
+            && until >= from
+            && arrival.at <= until.saturating_add(OVERTAKEN)
+        {
+            allowed.extend(
+                edition
+                    .to
+                    .iter()
+                    .filter(|(p, _)| arrival.id_path_begins(p))
+                    .map(|(_, s)| s.clone()),
+            );
         }
     }
     (!allowed.contains(&arrival.service))
--- a/tools/proxy-simulation/src/stream.rs
+++ b/tools/proxy-simulation/src/stream.rs
@@ -52,10 +52,21 @@
 
 /// A connection; end 0 first.
 pub fn pair(dice: &mut Dice, late: u32, tap: Option<Box<dyn Tap>>) -> (End, End) {
-    let wire = Wire { ways: Default::default(), reset: [false; 2], until_reset: None, torn: false };
+    let wire = Wire {
+        ways: Default::default(),
+        reset: [false; 2],
+        until_reset: None,
+        torn: false,
+    };
     let wire = Arc::new(Mutex::new(wire));
-    let mut end =
-        |side, tap| End { side, wire: wire.clone(), dice: crate::dice(dice.gen()), late, tap, gone: false };
+    let mut end = |side, tap| End {
+        side,
+        wire: wire.clone(),
+        dice: crate::dice(dice.gen()),
+        late,
+        tap,
+        gone: false,
+    };
     (end(0, tap), end(1, None))
 }
 
@@ -124,7 +135,11 @@
         if self.tarries(cx) {
             return Poll::Pending;
         }
-        let most = if self.late > 0 { self.dice.gen_range(1..=2000) } else { usize::MAX };
+        let most = if self.late > 0 {
+            self.dice.gen_range(1..=2000)
+        } else {
+            usize::MAX
+        };
         let side = self.side;
         let mut wire = self.wire();
         if wire.reset[side] {
@@ -147,7 +162,11 @@
 }
 
 impl AsyncWrite for End {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         if self.tarries(cx) {
             return Poll::Pending;
         }
@@ -171,7 +190,11 @@
             }
         }
         let way = &mut wire.ways[1 - side];
-        let some = if way.unheard { most } else { most.min(WINDOW.saturating_sub(way.bytes.len())) };
+        let some = if way.unheard {
+            most
+        } else {
+            most.min(WINDOW.saturating_sub(way.bytes.len()))
+        };
         if some == 0 {
             way.writer = Some(cx.waker().clone());
             return Poll::Pending;
--- a/tools/proxy-simulation/tests/plays.rs
+++ b/tools/proxy-simulation/tests/plays.rs
@@ -9,14 +9,21 @@
 /// meets nothing: each kind of trouble comes up.
 #[test]
 fn each_request_gets_its_own_answer_and_orders_run_once() {
-    let (mut met, mut served, mut requests) = (std::collections::BTreeMap::<&str, u64>::new(), 0, 0);
+    let (mut met, mut served, mut requests) =
+        (std::collections::BTreeMap::<&str, u64>::new(), 0, 0);
     for seed in 0..1_000 {
         let played = play(seed);
         assert!(played.wrong.is_empty(), "seed {seed}: {:#?}", played.wrong);
-        played.met.iter().for_each(|(what, times)| *met.entry(what).or_default() += times);
+        played
+            .met
+            .iter()
+            .for_each(|(what, times)| *met.entry(what).or_default() += times);
         (served, requests) = (served + played.served, requests + played.requests);
     }
-    assert!(requests > 20_000 && served * 2 > requests, "{served} of {requests} served");
+    assert!(
+        requests > 20_000 && served * 2 > requests,
+        "{served} of {requests} served"
+    );
     for what in [
         "SIGTERM",
         "a promise that is none",
@@ -48,7 +55,11 @@
         "turned away",
         "turned away early",
     ] {
-        assert!(met.get(what).is_some_and(|times| *times > 20), "{what}: {:?}", met.get(what));
+        assert!(
+            met.get(what).is_some_and(|times| *times > 20),
+            "{what}: {:?}",
+            met.get(what)
+        );
     }
 }
 
--- a/tools/raft-simulation/src/bounded_losses.rs
+++ b/tools/raft-simulation/src/bounded_losses.rs
@@ -63,7 +63,12 @@
         let mut serving: Vec<usize> = (0..self.health.len()).filter(serving).collect();
         serving.shuffle(&mut self.rng);
         serving.sort_by_key(|machine| !matches!(self.health[*machine], Health::Up(_)));
-        serving.into_iter().take(2).chain([third]).map(address).collect()
+        serving
+            .into_iter()
+            .take(2)
+            .chain([third])
+            .map(address)
+            .collect()
     }
 
     fn is_lost(&self, machine: usize, now: Micros, catch_up: Micros) -> bool {
@@ -78,10 +83,15 @@
     /// has had its time; the two together count once.
     fn count(&self, now: Micros, catch_up: Micros) -> usize {
         let machines = 0..self.health.len();
-        let lost = machines.clone().filter(|machine| self.is_lost(*machine, now, catch_up)).count();
+        let lost = machines
+            .clone()
+            .filter(|machine| self.is_lost(*machine, now, catch_up))
+            .count();
         let away = |machine: &usize| match self.health[*machine] {
             Health::Leaving { again: true, .. } => true,
-            Health::Leaving { again: false, .. } | Health::Gone => !self.successor.contains_key(machine),
+            Health::Leaving { again: false, .. } | Health::Gone => {
+                !self.successor.contains_key(machine)
+            }
             _ => false,
         };
         lost + machines.filter(away).count()
@@ -106,7 +116,10 @@
         };
         let mut call_at = 0;
         while self.world.steps() < steps {
-            let due = losses.ahead.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
+            let due = losses
+                .ahead
+                .first_key_value()
+                .map_or(Micros::MAX, |((at, _), _)| *at);
             let next = losses.next_at.min(call_at).min(due);
             if self.world.next_at().is_some_and(|at| at <= next) {
                 self.step();
@@ -151,15 +164,26 @@
             losses.led_at = now;
         }
         let silent = now - since.max(losses.led_at);
-        assert!(silent <= LED_WITHIN, "nobody leads, {count} lost, {:?}: {}", losses.health, self.report());
+        assert!(
+            silent <= LED_WITHIN,
+            "nobody leads, {count} lost, {:?}: {}",
+            losses.health,
+            self.report()
+        );
     }
 
     /// Those that have left, or whose time to do so is over.
     fn see_off(&mut self, losses: &mut Losses) {
         let now = self.world.now();
         for machine in 0..losses.health.len() {
-            let Health::Leaving { again, ends } = losses.health[machine] else { continue };
-            if now < ends && !self.tree(machine).is_some_and(|tree| tree.core().has_left()) {
+            let Health::Leaving { again, ends } = losses.health[machine] else {
+                continue;
+            };
+            if now < ends
+                && !self
+                    .tree(machine)
+                    .is_some_and(|tree| tree.core().has_left())
+            {
                 continue;
             }
             if again {
@@ -195,9 +219,15 @@
                 self.thaw(machine);
                 losses.health[machine] = Health::Up(now);
                 // Links of those that are still cut off stay cut.
-                let cut: Vec<usize> = self.cut_off.iter().copied().filter(|cut| *cut != machine).collect();
+                let cut: Vec<usize> = self
+                    .cut_off
+                    .iter()
+                    .copied()
+                    .filter(|cut| *cut != machine)
+                    .collect();
                 self.cut_off.remove(&machine);
-                cut.into_iter().for_each(|cut| self.cut_off(cut, true, true));
+                cut.into_iter()
+                    .for_each(|cut| self.cut_off(cut, true, true));
             }
             Due::Successor(of) => {
                 self.succeed(losses, of);
@@ -227,7 +257,10 @@
         losses.health.push(Health::Up(self.world.now()));
         losses.successor.insert(of, machine);
         self.tell(Fault::Succeed { of, by: machine });
-        self.cut_off.clone().into_iter().for_each(|cut| self.cut_off(cut, true, true));
+        self.cut_off
+            .clone()
+            .into_iter()
+            .for_each(|cut| self.cut_off(cut, true, true));
     }
 
     /// Loses something, if that may be lost now.
@@ -243,7 +276,12 @@
             return self.lose_all(losses, room);
         }
         let added = losses.health.len() - self.first_machines();
-        let is_new = |machine: usize| losses.successor.values().any(|successor| *successor == machine);
+        let is_new = |machine: usize| {
+            losses
+                .successor
+                .values()
+                .any(|successor| *successor == machine)
+        };
         match losses.health[machine] {
             Health::Gone if room > 0 && added < MOST_ADDED && draw < 30 => {
                 // Back from the dead, as a machine more.
@@ -292,7 +330,8 @@
                 Fault::Freeze(machine)
             }
             480..600 => {
-                let (deaf, mute) = [(true, true), (true, false), (false, true)][losses.rng.gen_range(0..3)];
+                let (deaf, mute) =
+                    [(true, true), (true, false), (false, true)][losses.rng.gen_range(0..3)];
                 self.cut_off(machine, deaf, mute);
                 Fault::Deaf(machine)
             }
@@ -303,12 +342,16 @@
                 Fault::Disk(machine, trouble)
             }
             660..700 => {
-                self.world.set_lag(machine, losses.rng.gen_range(MILLI..300 * MILLI));
+                self.world
+                    .set_lag(machine, losses.rng.gen_range(MILLI..300 * MILLI));
                 Fault::Lags(machine)
             }
             700..760 => {
                 self.call(machine, Call::Leave);
-                losses.health[machine] = Health::Leaving { again: true, ends: now + GRACE };
+                losses.health[machine] = Health::Leaving {
+                    again: true,
+                    ends: now + GRACE,
+                };
                 return self.tell(Fault::Restart(machine));
             }
             760..880 if added < MOST_ADDED && !covered => {
--- a/tools/raft-simulation/src/cluster.rs
+++ b/tools/raft-simulation/src/cluster.rs
@@ -2,10 +2,12 @@
 
 use crate::fault_injection::RECOVERY;
 use crate::{
-    address, Boot, Chaos, Effect, Fault, Input, Micros, Net, Node, Trouble, Watch, World, MILLI, SECOND,
+    address, Boot, Chaos, Effect, Fault, Input, Micros, Net, Node, Trouble, Watch, World, MILLI,
+    SECOND,
 };
 use magpieline_raft::{
-    Action, Batch, Core, Envelope, Event, Index, Message, Outcome, Payload, Role, Seat, Start, Stored, Term,
+    Action, Batch, Core, Envelope, Event, Index, Message, Outcome, Payload, Role, Seat, Start,
+    Stored, Term,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -71,14 +73,27 @@
     fn carry_out(&mut self, actions: Vec<Action>, effects: &mut Vec<Effect<Tree>>) {
         for action in actions {
             effects.push(match action {
-                Action::Send(envelope) => Effect::Send { to: envelope.to.address, message: envelope },
-                Action::Write { serial, batch } => Effect::Write { serial, write: batch },
+                Action::Send(envelope) => Effect::Send {
+                    to: envelope.to.address,
+                    message: envelope,
+                },
+                Action::Write { serial, batch } => Effect::Write {
+                    serial,
+                    write: batch,
+                },
                 Action::Apply { index, command } => {
-                    let number = command.first_chunk().copied().map(u64::from_le_bytes).expect("a number");
+                    let number = command
+                        .first_chunk()
+                        .copied()
+                        .map(u64::from_le_bytes)
+                        .expect("a number");
                     self.applied.push(number);
                     self.index = index;
                     self.since += 1;
-                    Effect::Note(Note::Applied { place: self.applied.len() - 1, command: number })
+                    Effect::Note(Note::Applied {
+                        place: self.applied.len() - 1,
+                        command: number,
+                    })
                 }
                 Action::Restore { index, state } => {
                     let (count, state) = state.split_first_chunk().expect("a count");
@@ -90,11 +105,15 @@
                         .collect();
                     self.index = index;
                     self.since = 0;
-                    Effect::Note(Note::Restored { commands: self.applied.clone() })
-                }
-                Action::Done { ticket, outcome } => {
-                    Effect::Note(Note::Done { ticket, outcome, applied: self.applied.len() })
+                    Effect::Note(Note::Restored {
+                        commands: self.applied.clone(),
+                    })
                 }
+                Action::Done { ticket, outcome } => Effect::Note(Note::Done {
+                    ticket,
+                    outcome,
+                    applied: self.applied.len(),
+                }),
             });
         }
     }
@@ -103,7 +122,15 @@
         let mut state = (self.applied.len() as u64).to_le_bytes().to_vec();
         state.extend(self.applied.iter().flat_map(|number| number.to_le_bytes()));
         // By its count, so that some are long and some short.
-        state.resize(state.len() + if self.applied.len().is_multiple_of(3) { BALLAST } else { 0 }, 7);
+        state.resize(
+            state.len()
+                + if self.applied.len().is_multiple_of(3) {
+                    BALLAST
+                } else {
+                    0
+                },
+            7,
+        );
         state
     }
 }
@@ -116,10 +143,30 @@
     type Note = Note;
 
     fn start(boot: &Boot, now: Micros, disk: &Stored) -> (Tree, Vec<Effect<Tree>>) {
-        let Boot { me, seeds, first_run, seed, withstand, catch_up, .. } = boot.clone();
-        let start = Start { me, seeds, first_run, seed, withstand, catch_up };
+        let Boot {
+            me,
+            seeds,
+            first_run,
+            seed,
+            withstand,
+            catch_up,
+            ..
+        } = boot.clone();
+        let start = Start {
+            me,
+            seeds,
+            first_run,
+            seed,
+            withstand,
+            catch_up,
+        };
         let (core, actions) = Core::start(now, start, disk.clone());
-        let mut tree = Tree { core, applied: Vec::new(), index: 0, since: 0 };
+        let mut tree = Tree {
+            core,
+            applied: Vec::new(),
+            index: 0,
+            since: 0,
+        };
         let mut effects = Vec::new();
         tree.carry_out(actions, &mut effects);
         (tree, effects)
@@ -145,7 +192,10 @@
         self.carry_out(actions, &mut effects);
         if self.since >= COMPACT_AFTER || self.core.wants_compact() {
             self.since = 0;
-            let event = Event::Compact { index: self.index, state: self.state() };
+            let event = Event::Compact {
+                index: self.index,
+                state: self.state(),
+            };
             let actions = self.core.step(now, event);
             self.carry_out(actions, &mut effects);
         }
@@ -182,10 +232,19 @@
 
 impl Watch<Tree> for Checks {
     fn sent(&mut self, machine: usize, disk: &Stored, envelope: &Envelope) {
-        let Envelope { from, to, term, message } = envelope;
-        assert!(!self.retired.contains(from), "machine {machine} speaks as {from:?}, whose disk is gone");
-        let hard =
-            disk.hard.unwrap_or_else(|| panic!("machine {machine} spoke before it wrote: {message:?}"));
+        let Envelope {
+            from,
+            to,
+            term,
+            message,
+        } = envelope;
+        assert!(
+            !self.retired.contains(from),
+            "machine {machine} speaks as {from:?}, whose disk is gone"
+        );
+        let hard = disk
+            .hard
+            .unwrap_or_else(|| panic!("machine {machine} spoke before it wrote: {message:?}"));
         assert!(
             hard.life == from.life && hard.term >= *term,
             "machine {machine} sent {message:?} in term {term}, its disk has {hard:?}"
@@ -197,7 +256,10 @@
         };
         if let Some(vote) = vote {
             let kept = hard.term > *term || hard.vote == Some(*vote);
-            assert!(kept, "machine {machine} voted {vote:?} in {term}, its disk has {hard:?}");
+            assert!(
+                kept,
+                "machine {machine} voted {vote:?} in {term}, its disk has {hard:?}"
+            );
             let first = *self.votes.entry((*from, *term)).or_insert(*vote);
             assert_eq!(first, *vote, "{from:?} voted twice in term {term}");
             assert!(self.listed.contains(from), "{from:?} votes and is no voter");
@@ -205,7 +267,10 @@
         if let Message::AppendReply { matched, .. } = message {
             let covered = disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
             let last = disk.entries.last().map_or(covered, |entry| entry.index);
-            assert!(last >= *matched, "machine {machine} says it has {matched}, its disk ends at {last}");
+            assert!(
+                last >= *matched,
+                "machine {machine} says it has {matched}, its disk ends at {last}"
+            );
         }
     }
 
@@ -217,16 +282,24 @@
                     self.check_command(machine, place, command);
                 }
             }
-            Note::Done { ticket, outcome, applied } => {
+            Note::Done {
+                ticket,
+                outcome,
+                applied,
+            } => {
                 self.outcomes.insert(ticket, outcome);
                 if !matches!(outcome, Outcome::Committed { .. }) {
                     return;
                 }
                 if let Some(floor) = self.reads.get(&ticket) {
-                    assert!(applied >= *floor, "read {ticket} at machine {machine}: {applied} of {floor}");
+                    assert!(
+                        applied >= *floor,
+                        "read {ticket} at machine {machine}: {applied} of {floor}"
+                    );
                 } else {
                     let place = self.places.get(&ticket);
-                    let place = place.unwrap_or_else(|| panic!("{ticket} acknowledged and not applied"));
+                    let place =
+                        place.unwrap_or_else(|| panic!("{ticket} acknowledged and not applied"));
                     self.acknowledged = self.acknowledged.max(place + 1);
                 }
             }
@@ -237,7 +310,12 @@
         let core = tree.core();
         if core.role() == Role::Leader {
             let first = *self.leaders.entry(core.term()).or_insert(core.me());
-            assert_eq!(first, core.me(), "two leaders in term {}, one is machine {machine}", core.term());
+            assert_eq!(
+                first,
+                core.me(),
+                "two leaders in term {}, one is machine {machine}",
+                core.term()
+            );
         }
         for voter in core.voters() {
             if !self.listed.contains(voter) {
@@ -250,10 +328,20 @@
 impl Checks {
     fn check_command(&mut self, machine: usize, place: usize, command: u64) {
         match self.commands.get(place) {
-            Some(known) => assert_eq!(command, *known, "machine {machine} differs at command {place}"),
+            Some(known) => assert_eq!(
+                command, *known,
+                "machine {machine} differs at command {place}"
+            ),
             None => {
-                assert_eq!(place, self.commands.len(), "machine {machine} applies out of order");
-                assert!(self.places.insert(command, place).is_none(), "{command} applied twice");
+                assert_eq!(
+                    place,
+                    self.commands.len(),
+                    "machine {machine} applies out of order"
+                );
+                assert!(
+                    self.places.insert(command, place).is_none(),
+                    "{command} applied twice"
+                );
                 self.commands.push(command);
             }
         }
@@ -328,7 +416,11 @@
 
     /// Starts all machines for the first time. So many may be lost at once, and the next so long after they are back.
     pub fn plant_for(planting: Planting, withstand: usize, catch_up: Micros) -> Grove {
-        let Planting { seed, machines, net } = planting;
+        let Planting {
+            seed,
+            machines,
+            net,
+        } = planting;
         let mut grove = Grove {
             world: World::new(seed, net),
             checks: Checks::default(),
@@ -367,7 +459,9 @@
         // As at the first start, its own address among them, or old ones.
         let serves = |seed: &SocketAddrV4| {
             let machines = (0..self.world.machines()).filter(|other| address(*other) == *seed);
-            machines.into_iter().any(|other| other != machine && self.knows_core(other))
+            machines
+                .into_iter()
+                .any(|other| other != machine && self.knows_core(other))
         };
         let names_one = self.world.boot(machine).seeds.iter().any(serves);
         if self.rng.gen() || !names_one {
@@ -392,8 +486,9 @@
     /// One that is there, two that are not. The operator's list has machines that serve: one that knows no core yet
     /// stands on it only if there is no other.
     fn stale_seeds(&mut self, machine: usize) -> Vec<SocketAddrV4> {
-        let known: Vec<usize> =
-            (0..self.world.machines()).filter(|other| *other != machine && self.knows_core(*other)).collect();
+        let known: Vec<usize> = (0..self.world.machines())
+            .filter(|other| *other != machine && self.knows_core(*other))
+            .collect();
         let there = match known.len() {
             0 => (machine + self.rng.gen_range(1..self.machines.max(2))) % self.machines,
             count => known[self.rng.gen_range(0..count)],
@@ -402,7 +497,8 @@
     }
 
     fn knows_core(&self, machine: usize) -> bool {
-        self.tree(machine).is_some_and(|tree| !tree.core.voters().is_empty())
+        self.tree(machine)
+            .is_some_and(|tree| !tree.core.voters().is_empty())
     }
 
     pub fn tree(&self, machine: usize) -> Option<&Tree> {
@@ -411,7 +507,10 @@
 
     fn seat(&self, machine: usize) -> Option<Seat> {
         let life = self.world.disk(machine).hard?.life;
-        Some(Seat { address: address(machine), life })
+        Some(Seat {
+            address: address(machine),
+            life,
+        })
     }
 
     /// The machine that leads now by its own word, with a majority behind it.
@@ -425,19 +524,35 @@
     /// As many machines vote as bear the losses promised, an odd number of them; all others that run wait for a seat, and
     /// all have applied all. Where machines are missing, all that run vote, but one of an even number.
     pub fn is_whole(&self) -> bool {
-        let Some(leader) = self.leader().and_then(|leader| self.tree(leader)) else { return false };
+        let Some(leader) = self.leader().and_then(|leader| self.tree(leader)) else {
+            return false;
+        };
         let (voters, learners) = (leader.core.voters(), leader.core.learners());
-        let trees: Vec<&Tree> = (0..self.world.machines()).filter_map(|machine| self.tree(machine)).collect();
-        let waiting = trees.iter().filter(|tree| learners.contains(&tree.core.me())).count();
-        let votes = trees.iter().filter(|tree| voters.contains(&tree.core.me())).count();
+        let trees: Vec<&Tree> = (0..self.world.machines())
+            .filter_map(|machine| self.tree(machine))
+            .collect();
+        let waiting = trees
+            .iter()
+            .filter(|tree| learners.contains(&tree.core.me()))
+            .count();
+        let votes = trees
+            .iter()
+            .filter(|tree| voters.contains(&tree.core.me()))
+            .count();
         let wanted = 2 * self.world.withstand + 1;
-        let enough = if trees.len() >= wanted { wanted } else { (trees.len() - 1) / 2 * 2 + 1 };
+        let enough = if trees.len() >= wanted {
+            wanted
+        } else {
+            (trees.len() - 1) / 2 * 2 + 1
+        };
         leader.core.voters_before().is_none()
             && voters.len() % 2 == 1
             && voters.len() <= wanted
             && votes >= enough
             && votes + waiting == trees.len()
-            && trees.iter().all(|tree| tree.applied.len() == leader.applied.len())
+            && trees
+                .iter()
+                .all(|tree| tree.applied.len() == leader.applied.len())
     }
 
     /// How many commands are acknowledged, or before one that is.
@@ -457,15 +572,26 @@
 
     pub fn propose(&mut self, machine: usize, size: usize) -> u64 {
         self.tickets += 1;
-        let call = Call::Propose { ticket: self.tickets, size };
+        let call = Call::Propose {
+            ticket: self.tickets,
+            size,
+        };
         self.world.call(machine, call, &mut self.checks);
         self.tickets
     }
 
     pub fn read(&mut self, machine: usize) -> u64 {
         self.tickets += 1;
-        self.checks.reads.insert(self.tickets, self.checks.acknowledged);
-        self.world.call(machine, Call::Read { ticket: self.tickets }, &mut self.checks);
+        self.checks
+            .reads
+            .insert(self.tickets, self.checks.acknowledged);
+        self.world.call(
+            machine,
+            Call::Read {
+                ticket: self.tickets,
+            },
+            &mut self.checks,
+        );
         self.tickets
     }
 
@@ -506,7 +632,9 @@
     pub fn leave(&mut self, machine: usize) {
         self.world.call(machine, Call::Leave, &mut self.checks);
         let end = self.world.now() + GRACE;
-        self.run_until(end, |grove| grove.tree(machine).is_none_or(|tree| tree.core.has_left()));
+        self.run_until(end, |grove| {
+            grove.tree(machine).is_none_or(|tree| tree.core.has_left())
+        });
         self.end(machine);
     }
 
@@ -534,35 +662,52 @@
     /// Whether the rules of losses allow that this machine's disk goes, too: of no list of voters that any other machine
     /// goes by, or that is on its way to one, is half or more gone, nor more than `withstand`.
     fn may_wipe(&self, machine: usize) -> bool {
-        let Some(seat) = self.seat(machine) else { return false };
+        let Some(seat) = self.seat(machine) else {
+            return false;
+        };
         let enough = |voters: &[Seat]| {
-            let gone = voters.iter().filter(|voter| **voter == seat || self.checks.retired.contains(*voter));
+            let gone = voters
+                .iter()
+                .filter(|voter| **voter == seat || self.checks.retired.contains(*voter));
             let gone: BTreeSet<_> = gone.map(|voter| voter.address).collect();
             let all: BTreeSet<_> = voters.iter().map(|voter| voter.address).collect();
             // More than is to be borne at once is so much less to be borne by the list that is left.
             2 * gone.len() < all.len().min(2 * self.world.withstand + 1).max(1)
         };
-        let on_the_way = self.world.under_way().all(|envelope| match &envelope.message {
-            Message::Append { entries, .. } => entries.iter().all(|entry| match &entry.payload {
-                Payload::Members(members) => enough(&members.voters),
-                Payload::Noop | Payload::Command { .. } | Payload::JointEnd => true,
-            }),
-            Message::Fill { members, .. } => enough(&members.voters),
-            _ => true,
-        });
+        let on_the_way = self
+            .world
+            .under_way()
+            .all(|envelope| match &envelope.message {
+                Message::Append { entries, .. } => {
+                    entries.iter().all(|entry| match &entry.payload {
+                        Payload::Members(members) => enough(&members.voters),
+                        Payload::Noop | Payload::Command { .. } | Payload::JointEnd => true,
+                    })
+                }
+                Message::Fill { members, .. } => enough(&members.voters),
+                _ => true,
+            });
         on_the_way
-            && (0..self.world.machines()).filter(|other| *other != machine).all(|other| {
-                // By what it knows, and by what it would know after a loss of power.
-                let rebooted = Tree::start(self.world.boot(other), 0, self.world.disk(other)).0;
-                let fits = |tree: &Tree| {
-                    // Any of those being filled may be on the list before its loss is noticed.
-                    let voters = tree.core.voters();
-                    let soon = tree.core.learners().into_iter().map(|seat| [voters, &[seat]].concat());
-                    let before = tree.core.voters_before();
-                    enough(voters) && soon.into_iter().all(|list| enough(&list)) && before.is_none_or(enough)
-                };
-                self.tree(other).is_none_or(fits) && fits(&rebooted)
-            })
+            && (0..self.world.machines())
+                .filter(|other| *other != machine)
+                .all(|other| {
+                    // By what it knows, and by what it would know after a loss of power.
+                    let rebooted = Tree::start(self.world.boot(other), 0, self.world.disk(other)).0;
+                    let fits = |tree: &Tree| {
+                        // Any of those being filled may be on the list before its loss is noticed.
+                        let voters = tree.core.voters();
+                        let soon = tree
+                            .core
+                            .learners()
+                            .into_iter()
+                            .map(|seat| [voters, &[seat]].concat());
+                        let before = tree.core.voters_before();
+                        enough(voters)
+                            && soon.into_iter().all(|list| enough(&list))
+                            && before.is_none_or(enough)
+                    };
+                    self.tree(other).is_none_or(fits) && fits(&rebooted)
+                })
     }
 
     /// Breaks and mends things for so many steps, with clients calling, then mends all and looks whether everything that
@@ -627,10 +772,18 @@
 
     pub(crate) fn call_by_chance(&mut self) {
         let anyone = self.rng.gen_range(0..self.world.machines());
-        let machine = if self.rng.gen_ratio(1, 5) { anyone } else { self.leader().unwrap_or(anyone) };
+        let machine = if self.rng.gen_ratio(1, 5) {
+            anyone
+        } else {
+            self.leader().unwrap_or(anyone)
+        };
         match self.rng.gen_range(0..100) {
             0..=69 => {
-                let size = if self.rng.gen_ratio(1, 30) { 100_000 } else { self.rng.gen_range(0..300) };
+                let size = if self.rng.gen_ratio(1, 30) {
+                    100_000
+                } else {
+                    self.rng.gen_range(0..300)
+                };
                 self.propose(machine, size);
             }
             70..=98 => {
@@ -649,21 +802,29 @@
 
     /// After all is mended: a leader, every machine a voter, everything acknowledged read back, and then quiet.
     pub(crate) fn recover(&mut self) {
-        for machine in
-            (0..self.world.machines()).filter(|machine| !self.gone.contains(machine)).collect::<Vec<_>>()
+        for machine in (0..self.world.machines())
+            .filter(|machine| !self.gone.contains(machine))
+            .collect::<Vec<_>>()
         {
             self.start(machine);
             self.thaw(machine);
             self.world.set_trouble(machine, Trouble::None);
         }
         let end = self.world.now() + RECOVERY;
-        assert!(self.run_until(end, Grove::is_whole), "not whole again: {}", self.report());
+        assert!(
+            self.run_until(end, Grove::is_whole),
+            "not whole again: {}",
+            self.report()
+        );
         // An election begun before may still be under way: the call then goes to the next leader.
         let done = (0..3).any(|_| {
-            let Some(leader) = self.leader() else { return false };
+            let Some(leader) = self.leader() else {
+                return false;
+            };
             let tickets = [self.propose(leader, 0), self.read(leader)];
             let caught_up = |grove: &Grove| {
-                let committed = |ticket| matches!(grove.outcome(ticket), Some(Outcome::Committed { .. }));
+                let committed =
+                    |ticket| matches!(grove.outcome(ticket), Some(Outcome::Committed { .. }));
                 let trees = (0..grove.world.machines()).filter_map(|machine| grove.tree(machine));
                 let count = grove.checks.commands.len();
                 tickets.into_iter().all(committed)
@@ -675,11 +836,17 @@
         let leader = self.leader();
         let terms = self.terms();
         self.run_for(3 * SECOND);
-        assert_eq!((self.leader(), self.terms()), (leader, terms), "no quiet: {}", self.report());
+        assert_eq!(
+            (self.leader(), self.terms()),
+            (leader, terms),
+            "no quiet: {}",
+            self.report()
+        );
     }
 
     pub fn played(&self) -> Played {
-        let committed = |ticket: &&u64| matches!(self.outcome(**ticket), Some(Outcome::Committed { .. }));
+        let committed =
+            |ticket: &&u64| matches!(self.outcome(**ticket), Some(Outcome::Committed { .. }));
         Played {
             steps: self.world.steps(),
             seconds: self.world.now() / SECOND,
@@ -688,14 +855,21 @@
             reads: self.checks.reads.keys().filter(committed).count() as u64,
             terms: self.terms() as u64,
             faults: self.story.len() as u64,
-            wipes: self.story.iter().filter(|(_, fault)| matches!(fault, Fault::Wipe(_))).count() as u64,
+            wipes: self
+                .story
+                .iter()
+                .filter(|(_, fault)| matches!(fault, Fault::Wipe(_)))
+                .count() as u64,
         }
     }
 
     /// What broke and how the machines stand, for who reads a failure.
     pub fn report(&self) -> String {
-        let mut lines =
-            vec![format!("at {} ms after {} steps", self.world.now() / MILLI, self.world.steps())];
+        let mut lines = vec![format!(
+            "at {} ms after {} steps",
+            self.world.now() / MILLI,
+            self.world.steps()
+        )];
         for machine in 0..self.world.machines() {
             lines.push(match self.tree(machine) {
                 None => format!("{machine}: down"),
@@ -715,7 +889,11 @@
             *at >= from
                 || matches!(
                     fault,
-                    Fault::Wipe(_) | Fault::Add | Fault::Gone(_) | Fault::Retire(_) | Fault::Succeed { .. }
+                    Fault::Wipe(_)
+                        | Fault::Add
+                        | Fault::Gone(_)
+                        | Fault::Retire(_)
+                        | Fault::Succeed { .. }
                 )
         };
         let story = self.story.iter().enumerate().filter(told);
--- a/tools/raft-simulation/src/fault_injection.rs
+++ b/tools/raft-simulation/src/fault_injection.rs
@@ -72,17 +72,34 @@
     /// From `start` on; `pause` is the longest time between two faults.
     pub fn new(seed: u64, start: Micros, pause: Micros, calm: Net) -> Chaos {
         let rng = ChaCha8Rng::seed_from_u64(seed ^ 0xc4a0);
-        Chaos { rng, next_at: start, pause, calm, ahead: BTreeMap::new(), order: 0 }
+        Chaos {
+            rng,
+            next_at: start,
+            pause,
+            calm,
+            ahead: BTreeMap::new(),
+            order: 0,
+        }
     }
 
     /// When it acts next.
     pub fn next_at(&self) -> Micros {
-        self.ahead.first_key_value().map_or(self.next_at, |((at, _), _)| self.next_at.min(*at))
+        self.ahead
+            .first_key_value()
+            .map_or(self.next_at, |((at, _), _)| self.next_at.min(*at))
     }
 
     /// Mends what is due; returns the fault that is due, for the caller to allow, note and pass to [`Chaos::break_it`].
-    pub fn act<N: Node>(&mut self, world: &mut World<N>, watch: &mut impl Watch<N>) -> Option<Fault> {
-        while self.ahead.first_key_value().is_some_and(|((at, _), _)| *at <= world.now()) {
+    pub fn act<N: Node>(
+        &mut self,
+        world: &mut World<N>,
+        watch: &mut impl Watch<N>,
+    ) -> Option<Fault> {
+        while self
+            .ahead
+            .first_key_value()
+            .is_some_and(|((at, _), _)| *at <= world.now())
+        {
             let (_, mend) = self.ahead.pop_first().expect("looked at");
             self.mend(world, mend, watch);
         }
@@ -111,7 +128,10 @@
             22..=33 => Fault::Wipe(one),
             34..=45 => Fault::Freeze(one),
             46..=51 => Fault::Cut(one, other),
-            52..=59 => Fault::OneWay { from: one, to: other },
+            52..=59 => Fault::OneWay {
+                from: one,
+                to: other,
+            },
             60..=63 => Fault::Deaf(one),
             64..=67 => Fault::Mute(one),
             68..=83 => {
@@ -151,12 +171,12 @@
                 self.cut(world, other, one);
             }
             Fault::OneWay { from, to } => self.cut(world, from, to),
-            Fault::Deaf(machine) => {
-                all.filter(|other| *other != machine).for_each(|other| self.cut(world, other, machine))
-            }
-            Fault::Mute(machine) => {
-                all.filter(|other| *other != machine).for_each(|other| self.cut(world, machine, other))
-            }
+            Fault::Deaf(machine) => all
+                .filter(|other| *other != machine)
+                .for_each(|other| self.cut(world, other, machine)),
+            Fault::Mute(machine) => all
+                .filter(|other| *other != machine)
+                .for_each(|other| self.cut(world, machine, other)),
             Fault::Disk(machine, trouble) => {
                 world.set_trouble(machine, trouble);
                 self.later(world, 100, 5_000, Mend::Disk(machine));
--- a/tools/raft-simulation/src/linearizability.rs
+++ b/tools/raft-simulation/src/linearizability.rs
@@ -60,16 +60,32 @@
 pub fn check<M: Model>(model: &M, calls: &[Seen<M::Asked, M::Answer>]) -> Result<(), String> {
     let mut calls_in_order: Vec<usize> = (0..calls.len()).collect();
     calls_in_order.sort_by_key(|i| calls[*i].back.as_ref().map_or(u64::MAX, |(at, _)| *at));
-    let mut search = Search { model, calls, known: HashSet::new(), looks: 0, best: (0, Vec::new(), None) };
+    let mut search = Search {
+        model,
+        calls,
+        known: HashSet::new(),
+        looks: 0,
+        best: (0, Vec::new(), None),
+    };
     let done = vec![0; calls.len().div_ceil(64)];
     if search.explain(&calls_in_order, done, model.start(), 0) {
         return Ok(());
     }
     let (count, done, state) = search.best;
-    let open = calls_in_order.iter().filter(|i| !has(&done, **i) && calls[**i].back.is_some()).take(3);
+    let open = calls_in_order
+        .iter()
+        .filter(|i| !has(&done, **i) && calls[**i].back.is_some())
+        .take(3);
     let open: Vec<String> = open.map(|i| format!("{:?}", calls[*i])).collect();
-    let given_up = if search.looks >= MOST_LOOKS { "search given up; " } else { "" };
-    Err(format!("{given_up}{count} calls explained, up to {state:?}; not explained:\n{}", open.join("\n")))
+    let given_up = if search.looks >= MOST_LOOKS {
+        "search given up; "
+    } else {
+        ""
+    };
+    Err(format!(
+        "{given_up}{count} calls explained, up to {state:?}; not explained:\n{}",
+        open.join("\n")
+    ))
 }
 
 fn has(done: &[u64], i: usize) -> bool {
@@ -83,7 +99,13 @@
 
 impl<M: Model> Search<'_, M> {
     /// `order` is by when the answers came.
-    fn explain(&mut self, order: &[usize], mut done: Vec<u64>, state: M::State, mut count: usize) -> bool {
+    fn explain(
+        &mut self,
+        order: &[usize],
+        mut done: Vec<u64>,
+        state: M::State,
+        mut count: usize,
+    ) -> bool {
         self.looks += 1;
         if self.looks >= MOST_LOOKS {
             return false;
@@ -91,7 +113,8 @@
         // What changes nothing and may be answered so now is done now: nothing is lost by that.
         let open = loop {
             let open: Vec<usize> = order.iter().copied().filter(|i| !has(&done, *i)).collect();
-            let Some((first_back, _)) = open.first().and_then(|i| self.calls[*i].back.as_ref()) else {
+            let Some((first_back, _)) = open.first().and_then(|i| self.calls[*i].back.as_ref())
+            else {
                 return true;
             };
             let may = |i: &&usize| self.calls[**i].sent <= *first_back;
@@ -114,8 +137,10 @@
         if !self.known.insert((done.clone(), state.clone())) {
             return false;
         }
-        let (answered, unanswered): (Vec<usize>, Vec<usize>) =
-            open.iter().copied().partition(|i| self.calls[*i].back.is_some());
+        let (answered, unanswered): (Vec<usize>, Vec<usize>) = open
+            .iter()
+            .copied()
+            .partition(|i| self.calls[*i].back.is_some());
         for i in answered {
             let call = &self.calls[i];
             let answer = call.back.as_ref().map(|(_, answer)| answer);
@@ -133,11 +158,18 @@
         for i in unanswered {
             let asked = &self.calls[i].asked;
             let wanted = order.iter().filter(|j| !has(&done, **j)).any(|j| {
-                let Seen { asked: other, back, .. } = &self.calls[*j];
-                back.as_ref()
-                    .is_some_and(|(_, answer)| self.model.explains(asked, other, answer, open.contains(j)))
+                let Seen {
+                    asked: other, back, ..
+                } = &self.calls[*j];
+                back.as_ref().is_some_and(|(_, answer)| {
+                    self.model.explains(asked, other, answer, open.contains(j))
+                })
             });
-            let next = if wanted { self.model.step(&state, asked, None) } else { None };
+            let next = if wanted {
+                self.model.step(&state, asked, None)
+            } else {
+                None
+            };
             // Done again it changes nothing, so it need not be remembered as done: the state tells.
             if let Some(next) = next.filter(|next| *next != state) {
                 if self.explain(order, done.clone(), next, count) {
@@ -183,7 +215,8 @@
         answer: Option<&DocumentAnswer>,
     ) -> Option<Self::State> {
         let DocumentAsked::Replace { number, document } = *asked else {
-            let fits = answer.is_none_or(|answer| *answer == DocumentAnswer::Held(state.last().copied()));
+            let fits =
+                answer.is_none_or(|answer| *answer == DocumentAnswer::Held(state.last().copied()));
             return fits.then(|| state.clone());
         };
         let known = state.binary_search_by_key(&number, |(n, _)| *n);
@@ -212,13 +245,19 @@
         answer: &DocumentAnswer,
         soon: bool,
     ) -> bool {
-        let DocumentAsked::Replace { number, document } = *unanswered else { return false };
+        let DocumentAsked::Replace { number, document } = *unanswered else {
+            return false;
+        };
         match (other, answer) {
             _ if !soon => false,
             (DocumentAsked::Read, DocumentAnswer::Held(held)) => *held == Some((number, document)),
-            (DocumentAsked::Replace { number: n, document: d }, DocumentAnswer::Refused) => {
-                *n == number && *d != document
-            }
+            (
+                DocumentAsked::Replace {
+                    number: n,
+                    document: d,
+                },
+                DocumentAnswer::Refused,
+            ) => *n == number && *d != document,
             _ => false,
         }
     }
@@ -268,12 +307,20 @@
         Service::default()
     }
 
-    fn step(&self, state: &Service, asked: &RolloutAsked, answer: Option<&RolloutAnswer>) -> Option<Service> {
+    fn step(
+        &self,
+        state: &Service,
+        asked: &RolloutAsked,
+        answer: Option<&RolloutAnswer>,
+    ) -> Option<Service> {
         let RolloutAsked::Begin { order, content } = *asked else {
             let fits = answer.is_none_or(|answer| *answer == RolloutAnswer::Newest(state.newest));
             return fits.then(|| state.clone());
         };
-        let under_way = state.newest.filter(|(_, fate)| *fate == Fate::UnderWay).map(|(content, _)| content);
+        let under_way = state
+            .newest
+            .filter(|(_, fate)| *fate == Fate::UnderWay)
+            .map(|(content, _)| content);
         let other = under_way.is_some_and(|other| other != content);
         let known = state.taken.binary_search(&order);
         match (answer, known) {
@@ -295,10 +342,19 @@
     }
 
     fn drift(&self, state: &Service) -> Vec<Service> {
-        let Some((content, Fate::UnderWay)) = state.newest else { return Vec::new() };
-        let returned = Service { newest: Some((content, Fate::Returned)), ..state.clone() };
+        let Some((content, Fate::UnderWay)) = state.newest else {
+            return Vec::new();
+        };
+        let returned = Service {
+            newest: Some((content, Fate::Returned)),
+            ..state.clone()
+        };
         let newest = Some((content, Fate::Delivered));
-        let delivered = Service { newest, stands: Some(content), ..state.clone() };
+        let delivered = Service {
+            newest,
+            stands: Some(content),
+            ..state.clone()
+        };
         vec![returned, delivered]
     }
 
@@ -309,7 +365,9 @@
         answer: &RolloutAnswer,
         soon: bool,
     ) -> bool {
-        let RolloutAsked::Begin { content, .. } = *unanswered else { return false };
+        let RolloutAsked::Begin { content, .. } = *unanswered else {
+            return false;
+        };
         match (other, answer) {
             // When a copy comes, or the version is ordered anew, another rollout may be under way, or have been.
             (RolloutAsked::Begin { content: c, .. }, RolloutAnswer::Taken) => *c == content,
--- a/tools/raft-simulation/src/long_run.rs
+++ b/tools/raft-simulation/src/long_run.rs
@@ -4,7 +4,9 @@
 //! What runs is all of a sorting machine but its sockets: the agreement, the state that it agrees on and the store, which
 //! lies in memory here and is opened again at each start without having been closed.
 
-use crate::{address, Boot, Effect, Input, Micros, Net, Node, Trouble, Watch, World, MILLI, SECOND};
+use crate::{
+    address, Boot, Effect, Input, Micros, Net, Node, Trouble, Watch, World, MILLI, SECOND,
+};
 use magpieline_control_plane::state_machine::{Command, Kept, Records};
 use magpieline_raft::{
     Action, Batch, Core, Envelope, Event, Index, Outcome, Role, Seat, Start, Stored, Term,
@@ -42,7 +44,8 @@
     fn read(&self, offset: u64, length: usize) -> io::Result<Vec<u8>> {
         self.with(|bytes| {
             let part = bytes.get(offset as usize..offset as usize + length);
-            part.map(<[u8]>::to_vec).ok_or(io::ErrorKind::UnexpectedEof.into())
+            part.map(<[u8]>::to_vec)
+                .ok_or(io::ErrorKind::UnexpectedEof.into())
         })
     }
 
@@ -58,7 +61,9 @@
     fn write(&self, offset: u64, part: &[u8]) -> io::Result<()> {
         self.with(|bytes| {
             let place = bytes.get_mut(offset as usize..offset as usize + part.len());
-            place.map(|place| place.copy_from_slice(part)).ok_or(io::ErrorKind::InvalidInput.into())
+            place
+                .map(|place| place.copy_from_slice(part))
+                .ok_or(io::ErrorKind::InvalidInput.into())
         })
     }
 }
@@ -73,7 +78,12 @@
     }
 
     fn bytes(&self) -> u64 {
-        self.files(|files| files.values().map(|bytes| bytes.with(|bytes| bytes.len() as u64)).sum())
+        self.files(|files| {
+            files
+                .values()
+                .map(|bytes| bytes.with(|bytes| bytes.len() as u64))
+                .sum()
+        })
     }
 }
 
@@ -88,7 +98,11 @@
 
     fn create(&self, name: &str) -> Result<(), Error> {
         let bytes = Bytes::default();
-        drop(builder().create_with_backend(bytes.clone()).map_err(Error::of)?);
+        drop(
+            builder()
+                .create_with_backend(bytes.clone())
+                .map_err(Error::of)?,
+        );
         self.files(|files| files.insert(name.into(), bytes));
         Ok(())
     }
@@ -151,7 +165,9 @@
     /// Bits of values flip, so that the checksums don't fit.
     fn spoil(&self, rng: &mut ChaCha8Rng) {
         let drawer = self.drawer.borrow();
-        let Some(bytes) = drawer.files(|files| files.get(FILE).cloned()) else { return };
+        let Some(bytes) = drawer.files(|files| files.get(FILE).cloned()) else {
+            return;
+        };
         bytes.with(|bytes| {
             for at in (4096..bytes.len()).step_by(rng.gen_range(50..200)) {
                 bytes[at] ^= 1 << rng.gen_range(0..8);
@@ -214,17 +230,30 @@
     fn carry_out(&mut self, actions: Vec<Action>, effects: &mut Vec<Effect<Keeper>>) {
         for action in actions {
             effects.push(match action {
-                Action::Send(envelope) => Effect::Send { to: envelope.to.address, message: envelope },
-                Action::Write { serial, batch } => Effect::Write { serial, write: batch },
+                Action::Send(envelope) => Effect::Send {
+                    to: envelope.to.address,
+                    message: envelope,
+                },
+                Action::Write { serial, batch } => Effect::Write {
+                    serial,
+                    write: batch,
+                },
                 Action::Apply { index, command } => {
-                    self.records.apply(index, &Command::unpack(&command).expect("readable"));
+                    self.records
+                        .apply(index, &Command::unpack(&command).expect("readable"));
                     self.index = index;
-                    Effect::Note(Note::Applied { index, command: hash(&command) })
+                    Effect::Note(Note::Applied {
+                        index,
+                        command: hash(&command),
+                    })
                 }
                 Action::Restore { index, state } => {
                     self.records = Records::unpack(&state).expect("readable");
                     self.index = index;
-                    Effect::Note(Note::State { index, state: hash(&self.records.pack()) })
+                    Effect::Note(Note::State {
+                        index,
+                        state: hash(&self.records.pack()),
+                    })
                 }
                 Action::Done { ticket, outcome } => Effect::Note(Note::Done { ticket, outcome }),
             });
@@ -241,11 +270,34 @@
 
     fn start(boot: &Boot, now: Micros, disk: &Vault) -> (Keeper, Vec<Effect<Keeper>>) {
         let (stored, aside) = disk.start();
-        let Boot { me, seeds, first_run, seed, withstand, catch_up, .. } = boot.clone();
+        let Boot {
+            me,
+            seeds,
+            first_run,
+            seed,
+            withstand,
+            catch_up,
+            ..
+        } = boot.clone();
         let rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5ea5);
-        let (core, actions) =
-            Core::start(now, Start { me, seeds, first_run, seed, withstand, catch_up }, stored);
-        let mut keeper = Keeper { core, records: Records::default(), index: 0, rng };
+        let (core, actions) = Core::start(
+            now,
+            Start {
+                me,
+                seeds,
+                first_run,
+                seed,
+                withstand,
+                catch_up,
+            },
+            stored,
+        );
+        let mut keeper = Keeper {
+            core,
+            records: Records::default(),
+            index: 0,
+            rng,
+        };
         let mut effects = Vec::new();
         if aside {
             effects.push(Effect::Note(Note::SetAside));
@@ -272,8 +324,17 @@
             compactions += 1;
             assert!(compactions < 3, "a compaction is wanted again and again");
             let state = self.records.pack();
-            effects.push(Effect::Note(Note::State { index: self.index, state: hash(&state) }));
-            let actions = self.core.step(now, Event::Compact { index: self.core.applied(), state });
+            effects.push(Effect::Note(Note::State {
+                index: self.index,
+                state: hash(&state),
+            }));
+            let actions = self.core.step(
+                now,
+                Event::Compact {
+                    index: self.core.applied(),
+                    state,
+                },
+            );
             self.carry_out(actions, &mut effects);
         }
         effects
@@ -285,7 +346,10 @@
 
     fn put(disk: &mut Vault, write: Batch) {
         let mut open = disk.open.borrow_mut();
-        open.as_mut().expect("a process writes to it").write(&write).expect("memory takes everything");
+        open.as_mut()
+            .expect("a process writes to it")
+            .write(&write)
+            .expect("memory takes everything");
         disk.most = disk.most.max(disk.drawer.borrow().bytes());
     }
 
@@ -316,11 +380,17 @@
         match note {
             Note::Applied { index, command } => {
                 let first = *self.commands.entry(index).or_insert(command);
-                assert_eq!(first, command, "machine {machine} applies another command at {index}");
+                assert_eq!(
+                    first, command,
+                    "machine {machine} applies another command at {index}"
+                );
             }
             Note::State { index, state } => {
                 let first = *self.states.entry(index).or_insert(state);
-                assert_eq!(first, state, "machine {machine} has another state at {index}");
+                assert_eq!(
+                    first, state,
+                    "machine {machine} has another state at {index}"
+                );
             }
             Note::Done { ticket, outcome } => {
                 self.done.insert(ticket);
@@ -346,7 +416,12 @@
             );
         }
         let first = *self.leaders.entry(core.term()).or_insert(core.me());
-        assert_eq!(first, core.me(), "two leaders in term {}, one is machine {machine}", core.term());
+        assert_eq!(
+            first,
+            core.me(),
+            "two leaders in term {}, one is machine {machine}",
+            core.term()
+        );
     }
 }
 
@@ -429,7 +504,11 @@
 
 /// A route as operators send it, with names drawn by lot.
 fn route(rng: &mut ChaCha8Rng) -> String {
-    let mut name = || -> String { (0..7).map(|_| char::from(rng.gen_range(b'a'..=b'z'))).collect() };
+    let mut name = || -> String {
+        (0..7)
+            .map(|_| char::from(rng.gen_range(b'a'..=b'z')))
+            .collect()
+    };
     let (route, prefix, service) = (name(), name(), name());
     format!(
         "{{\"name\":\"r-{route}\",\"sort\":\"safe\",\"target\":\"600ms\",\"precedence\":2,\
@@ -454,7 +533,9 @@
             world.start(machine, &mut checks);
         }
         let mut rng = ChaCha8Rng::seed_from_u64(sowing.seed ^ 0x5ea50);
-        let routes = (0..sowing.size / 180 + 1).map(|_| route(&mut rng)).collect();
+        let routes = (0..sowing.size / 180 + 1)
+            .map(|_| route(&mut rng))
+            .collect();
         let mut season = Season {
             world,
             sowing,
@@ -480,24 +561,44 @@
 
     /// It votes, and has applied what was acknowledged a second ago or the change before the newest.
     fn is_up(&self, machine: usize) -> bool {
-        let Some(leader) = self.leader() else { return false };
+        let Some(leader) = self.leader() else {
+            return false;
+        };
         let (Some(keeper), Some(led)) = (self.world.node(machine), self.world.node(leader)) else {
             return false;
         };
-        let held = |keeper: &Keeper| keeper.records.edition.as_ref().map_or(0, |kept| kept.number);
+        let held = |keeper: &Keeper| {
+            keeper
+                .records
+                .edition
+                .as_ref()
+                .map_or(0, |kept| kept.number)
+        };
         // A seat counts once the list that has it is in force: until then the machine is one of those that are lost.
-        let votes = led.core.voters().contains(&keeper.core.me()) && led.core.voters_before().is_none();
+        let votes =
+            led.core.voters().contains(&keeper.core.me()) && led.core.voters_before().is_none();
         votes && !self.world.is_frozen(machine) && held(keeper) + 1 >= held(led)
     }
 
     fn document(&mut self) -> Command {
-        let number = self.checks.asked.values().max().map_or(1, |highest| highest + 1);
+        let number = self
+            .checks
+            .asked
+            .values()
+            .max()
+            .map_or(1, |highest| highest + 1);
         for _ in 0..self.rng.gen_range(1..20) {
             let at = self.rng.gen_range(0..self.routes.len());
             self.routes[at] = route(&mut self.rng);
         }
-        let text = format!("{{\"edition\":{number},\"regulations\":[{}]}}", self.routes.join(","));
-        Command::Replace(Kept { number, text: text.into() })
+        let text = format!(
+            "{{\"edition\":{number},\"regulations\":[{}]}}",
+            self.routes.join(",")
+        );
+        Command::Replace(Kept {
+            number,
+            text: text.into(),
+        })
     }
 
     /// The next change, or the one under way again, if it is time.
@@ -507,7 +608,10 @@
             Some((ticket, begun, _)) if self.checks.done.contains(&ticket) => {
                 self.asking = None;
                 self.longest_change = self.longest_change.max(now - begun);
-                self.next_at = now + self.rng.gen_range(self.sowing.pause..=2 * self.sowing.pause);
+                self.next_at = now
+                    + self
+                        .rng
+                        .gen_range(self.sowing.pause..=2 * self.sowing.pause);
                 return;
             }
             Some((_, begun, at)) if now >= at + PATIENCE => begun,
@@ -517,11 +621,16 @@
         };
         let Some(leader) = self.leader() else { return };
         let command = self.document();
-        let Command::Replace(kept) = &command else { return };
+        let Command::Replace(kept) = &command else {
+            return;
+        };
         self.tickets += 1;
         self.checks.asked.insert(self.tickets, kept.number);
         self.asking = Some((self.tickets, begun, now));
-        let call = Call::Propose { ticket: self.tickets, command: command.pack() };
+        let call = Call::Propose {
+            ticket: self.tickets,
+            command: command.pack(),
+        };
         self.world.call(leader, call, &mut self.checks);
     }
 
@@ -589,8 +698,12 @@
             Trial::Cut => {
                 let one_way = self.rng.gen_range(0..3);
                 let others = || (0..all).filter(|other| *other != machine);
-                others().filter(|_| one_way != 1).for_each(|other| self.world.cut(machine, other));
-                others().filter(|_| one_way != 2).for_each(|other| self.world.cut(other, machine));
+                others()
+                    .filter(|_| one_way != 1)
+                    .for_each(|other| self.world.cut(machine, other));
+                others()
+                    .filter(|_| one_way != 2)
+                    .for_each(|other| self.world.cut(other, machine));
                 self.run_until(down, |_| false);
                 others().for_each(|other| {
                     self.world.join(machine, other);
@@ -606,7 +719,11 @@
         let mended = self.world.now();
         let (seed, bound) = (self.sowing.seed, self.sowing.catch_up);
         let up = self.run_until(bound, |season| season.is_up(machine));
-        assert!(up, "seed {seed}: machine {machine} is not up {bound} us after {trial:?}: {}", self.report());
+        assert!(
+            up,
+            "seed {seed}: machine {machine} is not up {bound} us after {trial:?}: {}",
+            self.report()
+        );
         self.world.now() - mended
     }
 
@@ -625,15 +742,26 @@
         }
         let machines = 0..self.world.machines();
         let even = |season: &Season| {
-            let states = machines.clone().map(|m| season.world.node(m).map(|k| k.core.applied()));
+            let states = machines
+                .clone()
+                .map(|m| season.world.node(m).map(|k| k.core.applied()));
             states.collect::<BTreeSet<_>>().len() == 1 && season.asking.is_none()
         };
         self.next_at = Micros::MAX;
-        assert!(self.run_until(10 * SECOND, even), "not even: {}", self.report());
-        let states: BTreeSet<u64> =
-            machines.clone().filter_map(|m| self.world.node(m)).map(|k| hash(&k.records.pack())).collect();
+        assert!(
+            self.run_until(10 * SECOND, even),
+            "not even: {}",
+            self.report()
+        );
+        let states: BTreeSet<u64> = machines
+            .clone()
+            .filter_map(|m| self.world.node(m))
+            .map(|k| hash(&k.records.pack()))
+            .collect();
         assert_eq!(states.len(), 1, "states differ");
-        let held = machines.clone().filter_map(|m| self.world.node(m)?.records.edition.clone());
+        let held = machines
+            .clone()
+            .filter_map(|m| self.world.node(m)?.records.edition.clone());
         let numbers: BTreeSet<u64> = held.map(|kept| kept.number).collect();
         assert!(
             numbers.first() >= Some(&self.checks.number),
@@ -668,6 +796,9 @@
             ),
         }
         };
-        (0..self.world.machines()).map(line).collect::<Vec<_>>().join("\n")
+        (0..self.world.machines())
+            .map(line)
+            .collect::<Vec<_>>()
+            .join("\n")
     }
 }
--- a/tools/raft-simulation/src/main.rs
+++ b/tools/raft-simulation/src/main.rs
@@ -2,7 +2,8 @@
 
 use gumdrop::Options;
 use magpieline_raft_simulation::{
-    Called, Grove, Harvest, Micros, Net, Office, Planting, Played, Season, Sowing, Trouble, MILLI, SECOND,
+    Called, Grove, Harvest, Micros, Net, Office, Planting, Played, Season, Sowing, Trouble, MILLI,
+    SECOND,
 };
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -25,11 +26,17 @@
 enum Command {
     #[options(help = "break things by chance, check after every step")]
     Run(Run),
-    #[options(help = "lose no more at once than is promised, and always have a leader within five seconds")]
+    #[options(
+        help = "lose no more at once than is promised, and always have a leader within five seconds"
+    )]
     Losses(Run),
-    #[options(help = "operators call while things break, and what they saw is checked as a history")]
+    #[options(
+        help = "operators call while things break, and what they saw is checked as a history"
+    )]
     Operators(Run),
-    #[options(help = "how long it takes until a leader stands, a wiped machine votes; what idling costs")]
+    #[options(
+        help = "how long it takes until a leader stands, a wiped machine votes; what idling costs"
+    )]
     Measure(Measure),
     #[options(
         help = "hundreds of changes, with members in trouble one after the other, on stores as on machines"
@@ -57,7 +64,10 @@
     mbps: u64,
     #[options(help = "of a thousand messages, so many are lost (0)", default = "0")]
     lost: u32,
-    #[options(help = "milliseconds within which a member is up again (4000)", default = "4000")]
+    #[options(
+        help = "milliseconds within which a member is up again (4000)",
+        default = "4000"
+    )]
     within: u64,
 }
 
@@ -71,7 +81,10 @@
     machines: usize,
     #[options(help = "steps of a seed (20000)", default = "20000")]
     steps: u64,
-    #[options(help = "how long a machine counts as lost after its return, in ms (4000)", default = "4000")]
+    #[options(
+        help = "how long a machine counts as lost after its return, in ms (4000)",
+        default = "4000"
+    )]
     catch_up: u64,
     #[options(help = "threads (one for each processor)")]
     threads: Option<usize>,
@@ -90,7 +103,9 @@
 }
 
 fn seeds(text: &str) -> Result<Range<u64>, String> {
-    let range = text.split_once("..").and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
+    let range = text
+        .split_once("..")
+        .and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
     range.ok_or_else(|| format!("'{text}' should be two numbers such as 1000..2000"))
 }
 
@@ -109,7 +124,10 @@
             ExitCode::SUCCESS
         }
         None => {
-            eprintln!("Say what to do, such as: raft-simulation run --seeds 0..100\n\n{}", Line::usage());
+            eprintln!(
+                "Say what to do, such as: raft-simulation run --seeds 0..100\n\n{}",
+                Line::usage()
+            );
             ExitCode::FAILURE
         }
     }
@@ -121,7 +139,11 @@
         let harvest = Season::sow(Sowing {
             seed,
             machines: line.machines,
-            net: Net { delay: line.delay, lost: line.lost, ..Net::CALM },
+            net: Net {
+                delay: line.delay,
+                lost: line.lost,
+                ..Net::CALM
+            },
             rate: Some(line.mbps * 1_000_000 / 8),
             changes: line.changes,
             size: line.bytes,
@@ -129,7 +151,15 @@
             catch_up: line.within * MILLI,
         })
         .harvest();
-        let Harvest { acknowledged, trials, set_aside, most_on_disk, terms, longest_change, took } = harvest;
+        let Harvest {
+            acknowledged,
+            trials,
+            set_aside,
+            most_on_disk,
+            terms,
+            longest_change,
+            took,
+        } = harvest;
         println!(
             "seed {seed}: {acknowledged} changes, {trials} trials, {set_aside} set aside, {terms} terms, most on disk {} MB, \
             longest change {} ms",
@@ -138,12 +168,18 @@
         );
         let mut by_trial: BTreeMap<String, Vec<Micros>> = BTreeMap::new();
         for (trial, took) in took {
-            by_trial.entry(format!("{trial:?}")).or_default().push(took / MILLI);
+            by_trial
+                .entry(format!("{trial:?}"))
+                .or_default()
+                .push(took / MILLI);
         }
         for (trial, mut times) in by_trial {
             times.sort_unstable();
             let (half, most) = (times[times.len() / 2], times[times.len() - 1]);
-            println!("  up after {trial}: half {half} ms, most {most} ms, {} times", times.len());
+            println!(
+                "  up after {trial}: half {half} ms, most {most} ms, {} times",
+                times.len()
+            );
         }
     }
 }
@@ -151,7 +187,11 @@
 fn play(run: &Run) -> ExitCode {
     let total = Mutex::new(Played::default());
     let failed = each_seed(run, "run", |seed| {
-        let planting = Planting { seed, machines: run.machines, net: Net::CALM };
+        let planting = Planting {
+            seed,
+            machines: run.machines,
+            net: Net::CALM,
+        };
         let mut grove = Grove::plant_for(planting, (run.machines - 1) / 2, run.catch_up * MILLI);
         grove.endure(seed, run.steps);
         total.lock().expect("not poisoned").add(&grove.played());
@@ -162,7 +202,11 @@
 fn lose(run: &Run) -> ExitCode {
     let total = Mutex::new(Played::default());
     let failed = each_seed(run, "losses", |seed| {
-        let planting = Planting { seed, machines: run.machines, net: Net::CALM };
+        let planting = Planting {
+            seed,
+            machines: run.machines,
+            net: Net::CALM,
+        };
         let mut grove = Grove::plant_for(planting, (run.machines - 1) / 2, run.catch_up * MILLI);
         grove.endure_losses(seed, run.steps);
         total.lock().expect("not poisoned").add(&grove.played());
@@ -183,8 +227,9 @@
 fn each_seed(run: &Run, command: &str, play: impl Fn(u64) + Sync) -> u64 {
     let next = AtomicU64::new(run.seeds.start);
     let failed = AtomicU64::new(0);
-    let threads =
-        run.threads.unwrap_or_else(|| thread::available_parallelism().map_or(1, |count| count.get()));
+    let threads = run
+        .threads
+        .unwrap_or_else(|| thread::available_parallelism().map_or(1, |count| count.get()));
     thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
@@ -221,9 +266,16 @@
 
 /// Times in milliseconds over the seeds: least, half, nine of ten, 99 of 100, most.
 fn show(measure: &Measure) {
-    let net = Net { delay: measure.delay * MILLI, ..Net::CALM };
+    let net = Net {
+        delay: measure.delay * MILLI,
+        ..Net::CALM
+    };
     let grown = |seed| {
-        let mut grove = Grove::plant(Planting { seed, machines: measure.machines, net });
+        let mut grove = Grove::plant(Planting {
+            seed,
+            machines: measure.machines,
+            net,
+        });
         grove.run_for(3 * SECOND + seed % 100 * MILLI);
         grove
     };
@@ -232,10 +284,17 @@
         times.sort_unstable();
         let missed = measure.seeds.clone().count() - times.len();
         let at = |part: usize| times[(times.len() - 1) * part / 100] / MILLI;
-        println!("{what}: {:?} ms, {missed} not within 10 s", [0, 50, 90, 99, 100].map(at));
+        println!(
+            "{what}: {:?} ms, {missed} not within 10 s",
+            [0, 50, 90, 99, 100].map(at)
+        );
     };
     tell("first start to leader", &|seed| {
-        let mut grove = Grove::plant(Planting { seed, machines: measure.machines, net });
+        let mut grove = Grove::plant(Planting {
+            seed,
+            machines: measure.machines,
+            net,
+        });
         until(&mut grove, |grove| grove.leader().is_some())
     });
     tell("leader killed to next leader", &|seed| {
@@ -248,7 +307,9 @@
         let mut grove = grown(seed);
         let old = grove.leader()?;
         grove.world.freeze(old);
-        until(&mut grove, |grove| grove.leader().is_some_and(|leader| leader != old))
+        until(&mut grove, |grove| {
+            grove.leader().is_some_and(|leader| leader != old)
+        })
     });
     tell("all started again to leader", &|seed| {
         let mut grove = grown(seed);
@@ -261,7 +322,9 @@
         let old = grove.leader()?;
         grove.world.set_trouble(old, Trouble::Hangs);
         grove.propose(old, 100);
-        until(&mut grove, |grove| grove.leader().is_some_and(|leader| leader != old))
+        until(&mut grove, |grove| {
+            grove.leader().is_some_and(|leader| leader != old)
+        })
     });
     tell("wiped machine started to voter", &|seed| {
         let mut grove = grown(seed);
@@ -274,7 +337,9 @@
         grove.wipe(wiped);
         grove.run_for(SECOND);
         grove.start(wiped);
-        until(&mut grove, |grove| grove.tree(wiped).is_some_and(|tree| tree.core().is_voter()))
+        until(&mut grove, |grove| {
+            grove.tree(wiped).is_some_and(|tree| tree.core().is_voter())
+        })
     });
     tell("proposal to acknowledgement", &|seed| {
         let mut grove = grown(seed);
@@ -284,12 +349,21 @@
     let mut grove = grown(measure.seeds.start);
     let (messages, steps) = (grove.world.messages(), grove.world.steps());
     grove.run_for(10 * SECOND);
-    let (messages, steps) = (grove.world.messages() - messages, grove.world.steps() - steps);
-    println!("idle, all machines: {} messages, {} steps a second", messages / 10, steps / 10);
+    let (messages, steps) = (
+        grove.world.messages() - messages,
+        grove.world.steps() - steps,
+    );
+    println!(
+        "idle, all machines: {} messages, {} steps a second",
+        messages / 10,
+        steps / 10
+    );
 }
 
 /// How long until it holds, unless that takes more than ten seconds.
 fn until(grove: &mut Grove, holds: impl Fn(&Grove) -> bool) -> Option<Micros> {
     let begun = grove.world.now();
-    grove.run_until(begun + 10 * SECOND, holds).then(|| grove.world.now() - begun)
+    grove
+        .run_until(begun + 10 * SECOND, holds)
+        .then(|| grove.world.now() - begun)
 }
--- a/tools/raft-simulation/src/operator_node.rs
+++ b/tools/raft-simulation/src/operator_node.rs
@@ -20,10 +20,19 @@
 /// What operators ask.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Asked {
-    Replace { number: u64, text: Arc<str> },
+    Replace {
+        number: u64,
+        text: Arc<str>,
+    },
     Read,
-    Begin { service: &'static str, to: String, within: u64 },
-    State { service: &'static str },
+    Begin {
+        service: &'static str,
+        to: String,
+        within: u64,
+    },
+    State {
+        service: &'static str,
+    },
 }
 
 /// What they are told.
@@ -53,9 +62,19 @@
 
 /// What a machine did.
 pub enum Note {
-    Answered { id: u64, answer: Answer },
-    Applied { index: Index, command: Command, effect: state_machine::Effect },
-    Restored { index: Index, records: Records },
+    Answered {
+        id: u64,
+        answer: Answer,
+    },
+    Applied {
+        index: Index,
+        command: Command,
+        effect: state_machine::Effect,
+    },
+    Restored {
+        index: Index,
+        records: Records,
+    },
 }
 
 struct InHand {
@@ -95,22 +114,35 @@
         for action in actions {
             match action {
                 Action::Send(envelope) => {
-                    effects.push(Effect::Send { to: envelope.to.address, message: envelope });
+                    effects.push(Effect::Send {
+                        to: envelope.to.address,
+                        message: envelope,
+                    });
                 }
-                Action::Write { serial, batch } => effects.push(Effect::Write { serial, write: batch }),
+                Action::Write { serial, batch } => effects.push(Effect::Write {
+                    serial,
+                    write: batch,
+                }),
                 Action::Apply { index, command } => {
                     let command = Command::unpack(&command).expect("as it was packed");
                     let effect = self.records.apply(index, &command);
                     self.witness.applied(now, &self.records);
                     (self.applied, self.since) = (index, self.since + 1);
                     did.insert(index, effect.clone());
-                    effects.push(Effect::Note(Note::Applied { index, command, effect }));
+                    effects.push(Effect::Note(Note::Applied {
+                        index,
+                        command,
+                        effect,
+                    }));
                 }
                 Action::Restore { index, state } => {
                     self.records = Records::unpack(&state).expect("as it was packed");
                     self.witness.applied(now, &self.records);
                     (self.applied, self.since) = (index, 0);
-                    effects.push(Effect::Note(Note::Restored { index, records: self.records.clone() }));
+                    effects.push(Effect::Note(Note::Restored {
+                        index,
+                        records: self.records.clone(),
+                    }));
                 }
                 Action::Done { ticket, outcome } => self.done(now, ticket, outcome, &did, effects),
             }
@@ -125,17 +157,28 @@
         did: &BTreeMap<Index, state_machine::Effect>,
         effects: &mut Vec<Effect<Desk>>,
     ) {
-        let Some((&id, call)) = self.calls.iter_mut().find(|(_, call)| call.ticket == Some(ticket)) else {
+        let Some((&id, call)) = self
+            .calls
+            .iter_mut()
+            .find(|(_, call)| call.ticket == Some(ticket))
+        else {
             return;
         };
         let is_read = matches!(call.asked, Asked::Read | Asked::State { .. });
         let answer = match outcome {
             Outcome::Committed { index } => match &call.asked {
-                Asked::Read => {
-                    Answer::Edition(self.records.edition.as_ref().map(|k| (k.number, k.text.clone())))
-                }
+                Asked::Read => Answer::Edition(
+                    self.records
+                        .edition
+                        .as_ref()
+                        .map(|k| (k.number, k.text.clone())),
+                ),
                 Asked::State { service } => {
-                    let newest = self.records.services.get(*service).and_then(|s| s.rollout.as_ref());
+                    let newest = self
+                        .records
+                        .services
+                        .get(*service)
+                        .and_then(|s| s.rollout.as_ref());
                     Answer::Rollout(newest.map(|r| (r.to.clone(), r.within, r.phase)))
                 }
                 Asked::Replace { .. } | Asked::Begin { .. } => {
@@ -162,14 +205,25 @@
             Some(_) => now >= call.came.0 + PATIENCE,
             None => now >= call.again_at,
         };
-        let due: Vec<u64> = self.calls.iter().filter(|(_, call)| due(call)).map(|(id, _)| *id).collect();
+        let due: Vec<u64> = self
+            .calls
+            .iter()
+            .filter(|(_, call)| due(call))
+            .map(|(id, _)| *id)
+            .collect();
         for id in due {
             let call = &self.calls[&id];
-            let elsewhere = self.core.leader().filter(|leader| *leader != self.core.me().address);
+            let elsewhere = self
+                .core
+                .leader()
+                .filter(|leader| *leader != self.core.me().address);
             let over = now >= call.came.0 + PATIENCE;
             let answer = match elsewhere {
                 _ if call.ticket.is_some() => Answer::Unclear,
-                _ if matches!(call.asked, Asked::Begin { .. }) && !call.led && self.core.leads(now) => {
+                _ if matches!(call.asked, Asked::Begin { .. })
+                    && !call.led
+                    && self.core.leads(now) =>
+                {
                     Answer::Unclear
                 }
                 _ if !over && self.core.leads(now) => {
@@ -197,17 +251,29 @@
             Asked::Read | Asked::State { .. } => None,
             Asked::Replace { number, text } => {
                 call.settled = self.records.settled(*number, &Digest::of(text));
-                let kept = Kept { number: *number, text: text.clone() };
+                let kept = Kept {
+                    number: *number,
+                    text: text.clone(),
+                };
                 call.settled.is_none().then_some(Command::Replace(kept))
             }
-            Asked::Begin { service, to, within } => {
-                let proposal = self.witness.look(&self.records, call.came, (service, to, *within), RECEIPT);
+            Asked::Begin {
+                service,
+                to,
+                within,
+            } => {
+                let proposal =
+                    self.witness
+                        .look(&self.records, call.came, (service, to, *within), RECEIPT);
                 call.settled = proposal.is_none().then_some(state_machine::Effect::Again);
                 proposal
             }
         };
         let event = match proposal {
-            Some(command) => Event::Propose { ticket, command: command.pack() },
+            Some(command) => Event::Propose {
+                ticket,
+                command: command.pack(),
+            },
             None => Event::Read { ticket },
         };
         let actions = self.core.step(now, event);
@@ -223,9 +289,27 @@
     type Note = Note;
 
     fn start(boot: &Boot, now: Micros, disk: &Stored) -> (Desk, Vec<Effect<Desk>>) {
-        let Boot { me, seeds, first_run, seed, day, withstand, catch_up } = boot.clone();
-        let (core, actions) =
-            Core::start(now, Start { me, seeds, first_run, seed, withstand, catch_up }, disk.clone());
+        let Boot {
+            me,
+            seeds,
+            first_run,
+            seed,
+            day,
+            withstand,
+            catch_up,
+        } = boot.clone();
+        let (core, actions) = Core::start(
+            now,
+            Start {
+                me,
+                seeds,
+                first_run,
+                seed,
+                withstand,
+                catch_up,
+            },
+            disk.clone(),
+        );
         let mut desk = Desk {
             core,
             records: Records::default(),
@@ -247,7 +331,10 @@
             Input::Message(envelope) => Event::Receive(envelope),
             Input::Synced(serial) => Event::Synced { serial },
             Input::Refused(serial) => Event::Refused { serial },
-            Input::Call(Call::Propose(command)) => Event::Propose { ticket: 0, command: command.pack() },
+            Input::Call(Call::Propose(command)) => Event::Propose {
+                ticket: 0,
+                command: command.pack(),
+            },
             Input::Call(Call::Ask { id, asked, day }) => {
                 let call = InHand {
                     asked,
@@ -265,7 +352,10 @@
         self.carry_out(now, actions, &mut effects);
         if self.since >= COMPACT_AFTER || self.core.wants_compact() {
             self.since = 0;
-            let event = Event::Compact { index: self.applied, state: self.records.pack() };
+            let event = Event::Compact {
+                index: self.applied,
+                state: self.records.pack(),
+            };
             let actions = self.core.step(now, event);
             self.carry_out(now, actions, &mut effects);
         }
--- a/tools/raft-simulation/src/operator_workload.rs
+++ b/tools/raft-simulation/src/operator_workload.rs
@@ -3,7 +3,8 @@
 //! history; what the machines did, after every step.
 
 use crate::linearizability::{
-    self, DocumentAnswer, DocumentAsked, Documents, Fate, RolloutAnswer, RolloutAsked, Rollouts, Seen,
+    self, DocumentAnswer, DocumentAsked, Documents, Fate, RolloutAnswer, RolloutAsked, Rollouts,
+    Seen,
 };
 use crate::operator_node::{Answer, Asked, Call, Desk, Note, RECEIPT};
 use crate::{address, Chaos, Fault, Micros, Net, Node, Trouble, Watch, World, MILLI, SECOND};
@@ -53,13 +54,24 @@
     fn noted(&mut self, machine: usize, note: Note) {
         match note {
             Note::Answered { id, answer } => self.answers.push((id, answer)),
-            Note::Applied { index, command, effect } => match self.log.get(&index) {
+            Note::Applied {
+                index,
+                command,
+                effect,
+            } => match self.log.get(&index) {
                 Some((c, e, _)) => {
-                    assert_eq!((c, e), (&command, &effect), "machine {machine} differs at {index}");
+                    assert_eq!(
+                        (c, e),
+                        (&command, &effect),
+                        "machine {machine} differs at {index}"
+                    );
                 }
                 None => {
                     let last = self.log.last_key_value().map_or(0, |(last, _)| *last);
-                    assert!(last < index, "machine {machine} applies {index} after {last}");
+                    assert!(
+                        last < index,
+                        "machine {machine} applies {index} after {last}"
+                    );
                     let expected = self.reference.apply(index, &command);
                     assert_eq!(effect, expected, "machine {machine} at {index}");
                     self.states.insert(index, digest(&self.reference));
@@ -67,8 +79,15 @@
                 }
             },
             Note::Restored { index, records } => {
-                let known = self.states.get(&index).unwrap_or_else(|| panic!("{index} was never applied"));
-                assert_eq!(*known, digest(&records), "machine {machine}'s snapshot at {index}");
+                let known = self
+                    .states
+                    .get(&index)
+                    .unwrap_or_else(|| panic!("{index} was never applied"));
+                assert_eq!(
+                    *known,
+                    digest(&records),
+                    "machine {machine}'s snapshot at {index}"
+                );
             }
         }
     }
@@ -204,8 +223,16 @@
         }
         self.run_for(12 * SECOND);
         for order in first..self.orders.len() {
-            let clear = self.sent.values().any(|s| s.order == order && s.back.is_some());
-            assert!(clear, "{:?} got no answer at the end\n{}", self.orders[order].asked, self.report());
+            let clear = self
+                .sent
+                .values()
+                .any(|s| s.order == order && s.back.is_some());
+            assert!(
+                clear,
+                "{:?} got no answer at the end\n{}",
+                self.orders[order].asked,
+                self.report()
+            );
         }
         self.look_back();
         self.called()
@@ -220,9 +247,22 @@
 
     /// The next thing happens, at `end` at the latest.
     fn step(&mut self, end: Micros) {
-        let due = self.orders.iter().filter_map(|order| order.next_at).min().unwrap_or(Micros::MAX);
-        let way = self.ways.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
-        let own = due.min(way).min(self.order_at).min(self.steward_at).min(self.chaos.next_at()).min(end);
+        let due = self
+            .orders
+            .iter()
+            .filter_map(|order| order.next_at)
+            .min()
+            .unwrap_or(Micros::MAX);
+        let way = self
+            .ways
+            .first_key_value()
+            .map_or(Micros::MAX, |((at, _), _)| *at);
+        let own = due
+            .min(way)
+            .min(self.order_at)
+            .min(self.steward_at)
+            .min(self.chaos.next_at())
+            .min(end);
         if self.world.next_at().is_some_and(|at| at <= own) {
             self.checks.now = self.world.next_at().expect("looked at");
             self.world.step(&mut self.checks);
@@ -257,18 +297,29 @@
     /// Only while all machines run and vote by one list that is in force, by what they know and by what they would know
     /// after a loss of power, and have the same log: so that one lost disk is all that is lost.
     fn may_wipe(&self, machine: usize) -> bool {
-        let desks: Vec<&Desk> = (0..self.machines).filter_map(|m| self.world.node(m)).collect();
-        let Some(known) = self.world.node(machine).map(Desk::core) else { return false };
+        let desks: Vec<&Desk> = (0..self.machines)
+            .filter_map(|m| self.world.node(m))
+            .collect();
+        let Some(known) = self.world.node(machine).map(Desk::core) else {
+            return false;
+        };
         let whole = |core: &Core| {
             core.voters_before().is_none()
                 && core.voters() == known.voters()
-                && desks.iter().all(|desk| core.voters().contains(&desk.core().me()))
+                && desks
+                    .iter()
+                    .all(|desk| core.voters().contains(&desk.core().me()))
         };
         self.world.now() >= self.wipe_from
             && desks.len() == self.machines
             && known.voters().len() == self.machines
-            && (0..self.machines)
-                .all(|m| whole(Desk::start(self.world.boot(m), 0, self.world.disk(m)).0.core()))
+            && (0..self.machines).all(|m| {
+                whole(
+                    Desk::start(self.world.boot(m), 0, self.world.disk(m))
+                        .0
+                        .core(),
+                )
+            })
             && desks.iter().all(|desk| {
                 let core = desk.core();
                 whole(core) && (core.term(), core.commit()) == (known.term(), known.commit())
@@ -300,7 +351,11 @@
                 self.send(order);
             }
         }
-        while self.ways.first_key_value().is_some_and(|((at, _), _)| *at <= now) {
+        while self
+            .ways
+            .first_key_value()
+            .is_some_and(|((at, _), _)| *at <= now)
+        {
             let (_, way) = self.ways.pop_first().expect("looked at");
             match way {
                 Way::To { id, machine } => self.arrive(id, machine),
@@ -327,15 +382,34 @@
                     _ => self.rng.gen_range(1..self.highest.max(2)),
                 };
                 self.highest = self.highest.max(number);
-                let size = if self.rng.gen_ratio(1, 20) { 70_000 } else { self.rng.gen_range(1..100) };
+                let size = if self.rng.gen_ratio(1, 20) {
+                    70_000
+                } else {
+                    self.rng.gen_range(1..100)
+                };
                 let text = format!("{number} by {} {}", self.orders.len(), "x".repeat(size));
                 let copies = self.rng.gen_range(0..3);
-                self.want(Asked::Replace { number, text: text.into() }, UNTIL_TAKEN, copies);
+                self.want(
+                    Asked::Replace {
+                        number,
+                        text: text.into(),
+                    },
+                    UNTIL_TAKEN,
+                    copies,
+                );
             }
             40..=59 => {
                 let (to, within) = self.version(service);
                 let copies = self.rng.gen_range(0..4);
-                self.want(Asked::Begin { service, to, within }, RECEIPT, copies);
+                self.want(
+                    Asked::Begin {
+                        service,
+                        to,
+                        within,
+                    },
+                    RECEIPT,
+                    copies,
+                );
             }
             60..=84 => self.want(Asked::Read, 3 * SECOND, 0),
             _ => self.want(Asked::State { service }, 3 * SECOND, 0),
@@ -347,13 +421,21 @@
         let now = self.world.now();
         let mut last: BTreeMap<(&str, u64), Micros> = BTreeMap::new();
         for order in &self.orders {
-            if let Asked::Begin { service: s, to, within } = &order.asked {
+            if let Asked::Begin {
+                service: s,
+                to,
+                within,
+            } = &order.asked
+            {
                 if *s == service {
                     last.insert((to, *within), order.first_sent);
                 }
             }
         }
-        let old = last.into_iter().filter(|(_, at)| now >= at + ANEW_AFTER).map(|(content, _)| content);
+        let old = last
+            .into_iter()
+            .filter(|(_, at)| now >= at + ANEW_AFTER)
+            .map(|(content, _)| content);
         let old: Vec<(String, u64)> = old.map(|(to, within)| (to.to_owned(), within)).collect();
         match old.choose(&mut self.rng) {
             Some(content) if self.rng.gen_ratio(1, 3) => content.clone(),
@@ -383,27 +465,42 @@
             return;
         }
         let id = self.sent.len() as u64;
-        self.sent.insert(id, Sent { order, sent: now, moves: 0, back: None, open: true });
+        self.sent.insert(
+            id,
+            Sent {
+                order,
+                sent: now,
+                moves: 0,
+                back: None,
+                open: true,
+            },
+        );
         let machine = self.rng.gen_range(0..self.machines);
         self.way(WAY, Way::To { id, machine });
         self.serial += 1;
-        self.ways.insert((now + SILENCE, self.serial), Way::Silence { id });
+        self.ways
+            .insert((now + SILENCE, self.serial), Way::Silence { id });
     }
 
     fn arrive(&mut self, id: u64, machine: usize) {
         let asked = self.orders[self.sent[&id].order].asked.clone();
         let day = self.world.day(machine);
-        self.world.call(machine, Call::Ask { id, asked, day }, &mut self.checks);
+        self.world
+            .call(machine, Call::Ask { id, asked, day }, &mut self.checks);
     }
 
     fn hear(&mut self, id: u64, answer: Answer) {
         let now = self.world.now();
-        let Some(sent) = self.sent.get_mut(&id).filter(|s| s.open) else { return };
+        let Some(sent) = self.sent.get_mut(&id).filter(|s| s.open) else {
+            return;
+        };
         let order = sent.order;
         match answer {
             Answer::Moved(to) if sent.moves < MOST_MOVES => {
                 sent.moves += 1;
-                let machine = (0..self.machines).find(|m| address(*m) == to).expect("one of them");
+                let machine = (0..self.machines)
+                    .find(|m| address(*m) == to)
+                    .expect("one of them");
                 self.way(WAY, Way::To { id, machine });
                 return;
             }
@@ -436,19 +533,28 @@
     /// A leader's steward decides on rollouts.
     fn move_on(&mut self) {
         for machine in 0..self.machines {
-            let Some(desk) = self.world.node(machine) else { continue };
+            let Some(desk) = self.world.node(machine) else {
+                continue;
+            };
             if desk.core().leader() != Some(desk.core().me().address) {
                 continue;
             }
-            let under_way = SERVICES.iter().filter_map(|s| Some((*s, desk.records().under_way(s)?.clone())));
+            let under_way = SERVICES
+                .iter()
+                .filter_map(|s| Some((*s, desk.records().under_way(s)?.clone())));
             for (service, rollout) in under_way.collect::<Vec<_>>() {
                 let phase = match rollout.phase {
                     _ if self.rng.gen_ratio(2, 5) => Phase::Returned,
                     Phase::Moving => Phase::Delivered,
                     _ => Phase::Moving,
                 };
-                let command = Command::Advance { service: service.into(), order: rollout.order, phase };
-                self.world.call(machine, Call::Propose(command), &mut self.checks);
+                let command = Command::Advance {
+                    service: service.into(),
+                    order: rollout.order,
+                    phase,
+                };
+                self.world
+                    .call(machine, Call::Propose(command), &mut self.checks);
             }
         }
     }
@@ -488,7 +594,11 @@
             });
         }
         let from = self.faults.len().saturating_sub(30);
-        lines.extend(self.faults[from..].iter().map(|(at, fault)| format!("{} ms {fault:?}", at / MILLI)));
+        lines.extend(
+            self.faults[from..]
+                .iter()
+                .map(|(at, fault)| format!("{} ms {fault:?}", at / MILLI)),
+        );
         lines.join("\n")
     }
 
@@ -501,9 +611,10 @@
         let mut calls = Vec::new();
         for sent in self.sent.values() {
             let asked = match &self.orders[sent.order].asked {
-                Asked::Replace { number, text } => {
-                    DocumentAsked::Replace { number: *number, document: name(text) }
-                }
+                Asked::Replace { number, text } => DocumentAsked::Replace {
+                    number: *number,
+                    document: name(text),
+                },
                 Asked::Read => DocumentAsked::Read,
                 Asked::Begin { .. } | Asked::State { .. } => continue,
             };
@@ -519,7 +630,11 @@
                 (*at, answer)
             });
             if back.is_some() || asked != DocumentAsked::Read {
-                calls.push(Seen { asked, sent: sent.sent, back });
+                calls.push(Seen {
+                    asked,
+                    sent: sent.sent,
+                    back,
+                });
             }
         }
         calls
@@ -534,9 +649,14 @@
         let mut calls = Vec::new();
         for sent in self.sent.values() {
             let asked = match &self.orders[sent.order].asked {
-                Asked::Begin { service, to, within } if *service == of => {
-                    RolloutAsked::Begin { order: sent.order as u64, content: name(to, *within) }
-                }
+                Asked::Begin {
+                    service,
+                    to,
+                    within,
+                } if *service == of => RolloutAsked::Begin {
+                    order: sent.order as u64,
+                    content: name(to, *within),
+                },
                 Asked::State { service } if *service == of => RolloutAsked::State,
                 _ => continue,
             };
@@ -559,7 +679,11 @@
                 (*at, answer)
             });
             if back.is_some() || asked != RolloutAsked::State {
-                calls.push(Seen { asked, sent: sent.sent, back });
+                calls.push(Seen {
+                    asked,
+                    sent: sent.sent,
+                    back,
+                });
             }
         }
         calls
@@ -571,13 +695,25 @@
         for (index, (command, effect, _)) in &self.checks.log {
             match command {
                 Command::Order { service, .. } if service == of && *effect == Effect::Service => {
-                    assert_eq!(under_way, None, "{of}: another rollout began at {index}\n{}", self.report());
+                    assert_eq!(
+                        under_way,
+                        None,
+                        "{of}: another rollout began at {index}\n{}",
+                        self.report()
+                    );
                     under_way = Some(*index);
                 }
-                Command::Advance { service, order, phase: Phase::Delivered | Phase::Returned }
-                    if service == of && *effect == Effect::Service =>
-                {
-                    assert_eq!(under_way, Some(*order), "{of}: the step at {index}\n{}", self.report());
+                Command::Advance {
+                    service,
+                    order,
+                    phase: Phase::Delivered | Phase::Returned,
+                } if service == of && *effect == Effect::Service => {
+                    assert_eq!(
+                        under_way,
+                        Some(*order),
+                        "{of}: the step at {index}\n{}",
+                        self.report()
+                    );
                     under_way = None;
                 }
                 _ => {}
@@ -589,26 +725,42 @@
     /// moment as orders were sent by then at most; and for each acknowledged order there is an entry of its own time that
     /// took it.
     fn count_runs(&self, service: &str) {
-        let entries = self.checks.log.values().filter_map(|(command, effect, at)| match command {
-            Command::Order { service: s, to, within, .. } if s == service => {
-                Some(((to.as_str(), *within), effect, *at))
-            }
-            _ => None,
-        });
+        let entries = self
+            .checks
+            .log
+            .values()
+            .filter_map(|(command, effect, at)| match command {
+                Command::Order {
+                    service: s,
+                    to,
+                    within,
+                    ..
+                } if s == service => Some(((to.as_str(), *within), effect, *at)),
+                _ => None,
+            });
         let entries: Vec<_> = entries.collect();
-        let orders = self.orders.iter().enumerate().filter_map(|(i, order)| match &order.asked {
-            Asked::Begin { service: s, to, within } if *s == service => {
-                Some((i, (to.as_str(), *within), order.first_sent))
-            }
-            _ => None,
-        });
+        let orders = self
+            .orders
+            .iter()
+            .enumerate()
+            .filter_map(|(i, order)| match &order.asked {
+                Asked::Begin {
+                    service: s,
+                    to,
+                    within,
+                } if *s == service => Some((i, (to.as_str(), *within), order.first_sent)),
+                _ => None,
+            });
         let orders: Vec<_> = orders.collect();
         for (content, _, at) in &entries {
             let ran = |(c, e, a): &&((&str, u64), &Effect, Micros)| {
                 c == content && **e == Effect::Service && a <= at
             };
             let ran = entries.iter().filter(ran).count();
-            let sent = orders.iter().filter(|(_, c, sent)| c == content && sent <= at).count();
+            let sent = orders
+                .iter()
+                .filter(|(_, c, sent)| c == content && sent <= at)
+                .count();
             assert!(
                 ran <= sent,
                 "{service} {content:?}: {ran} rollouts for {sent} orders, {:?}",
@@ -617,8 +769,14 @@
         }
         for (order, content, first_sent) in &orders {
             let of = |s: &&Sent| s.order == *order;
-            let taken = |s: &&Sent| s.back.as_ref().is_some_and(|(_, answer)| *answer == Answer::Taken);
-            let Some(first) = self.sent.values().filter(of).find(taken) else { continue };
+            let taken = |s: &&Sent| {
+                s.back
+                    .as_ref()
+                    .is_some_and(|(_, answer)| *answer == Answer::Taken)
+            };
+            let Some(first) = self.sent.values().filter(of).find(taken) else {
+                continue;
+            };
             let acknowledged = first.back.as_ref().map_or(0, |(at, _)| *at);
             let its = |(c, e, at): &&((&str, u64), &Effect, Micros)| {
                 c == content && e.is_taken() && (first_sent..=&acknowledged).contains(&at)
@@ -649,7 +807,11 @@
                 .filter(|(c, e, _)| matches!(c, Command::Order { .. }) && *e == Effect::Service)
                 .count() as u64,
             faults: self.faults.len() as u64,
-            wipes: self.faults.iter().filter(|(_, f)| matches!(f, Fault::Wipe(_))).count() as u64,
+            wipes: self
+                .faults
+                .iter()
+                .filter(|(_, f)| matches!(f, Fault::Wipe(_)))
+                .count() as u64,
         }
     }
 }
