--- a/tools/raft-simulation/src/simulator.rs
+++ b/tools/raft-simulation/src/simulator.rs
@@ -40,10 +40,7 @@
         message: N::Message,
     },
     /// One at a time.
-    Write {
-        serial: u64,
-        write: N::Write,
-    },
+    Write { serial: u64, write: N::Write },
     /// For the one who watches.
     Note(N::Note),
 }
@@ -102,7 +99,12 @@
 
 impl Net {
     /// One millisecond, nothing lost.
-    pub const CALM: Net = Net { delay: MILLI, jitter: 100, lost: 0, doubled: 0 };
+    pub const CALM: Net = Net {
+        delay: MILLI,
+        jitter: 100,
+        lost: 0,
+        doubled: 0,
+    };
 }
 
 const SYNC: Micros = 2 * MILLI;
@@ -136,9 +138,17 @@
 }
 
 enum Happening<N: Node> {
-    Deliver { from: usize, to: usize, message: N::Message },
+    Deliver {
+        from: usize,
+        to: usize,
+        message: N::Message,
+    },
     Wake(usize),
-    DiskDone { machine: usize, starts: u64, serial: u64 },
+    DiskDone {
+        machine: usize,
+        starts: u64,
+        serial: u64,
+    },
 }
 
 /// All of it.
@@ -162,7 +172,10 @@
 
 /// Where a machine is.
 pub fn address(machine: usize) -> SocketAddrV4 {
-    SocketAddrV4::new([10, 1, (machine / 200) as u8, (machine % 200) as u8 + 1].into(), 7720)
+    SocketAddrV4::new(
+        [10, 1, (machine / 200) as u8, (machine % 200) as u8 + 1].into(),
+        7720,
+    )
 }
 
 impl<N: Node> World<N> {
@@ -187,9 +200,20 @@
     pub fn add(&mut self, seeds: Vec<SocketAddrV4>, first_run: bool) -> usize {
         let (withstand, catch_up) = (self.withstand, self.catch_up);
         let me = address(self.machines.len());
-        let boot = Boot { me, seeds, first_run, seed: 0, day: 0, withstand, catch_up };
+        let boot = Boot {
+            me,
+            seeds,
+            first_run,
+            seed: 0,
+            day: 0,
+            withstand,
+            catch_up,
+        };
         // Clocks began at any time and differ by up to a thousandth.
-        let clock = (self.rng.gen_range(0..1_000_000_000), self.rng.gen_range(0..1000));
+        let clock = (
+            self.rng.gen_range(0..1_000_000_000),
+            self.rng.gen_range(0..1000),
+        );
         self.machines.push(Machine {
             boot,
             node: None,
@@ -248,7 +272,10 @@
             Happening::Deliver { message, .. } => Some(message),
             _ => None,
         });
-        let waiting = self.machines.iter().flat_map(|machine| machine.inbox.iter().flatten());
+        let waiting = self
+            .machines
+            .iter()
+            .flat_map(|machine| machine.inbox.iter().flatten());
         flying.chain(waiting.filter_map(|input| match input {
             Input::Message(message) => Some(message),
             _ => None,
@@ -296,7 +323,9 @@
     /// From the next start of each on, so many may be lost at once.
     pub fn set_withstand(&mut self, withstand: usize) {
         self.withstand = withstand;
-        self.machines.iter_mut().for_each(|machine| machine.boot.withstand = withstand);
+        self.machines
+            .iter_mut()
+            .for_each(|machine| machine.boot.withstand = withstand);
     }
 
     /// From the next start on, and `first_run` is over.
@@ -368,7 +397,14 @@
         };
         let at = self.now + self.rng.gen_range(takes / 2..=takes);
         let starts = self.machines[machine].starts;
-        self.plan(at, Happening::DiskDone { machine, starts, serial });
+        self.plan(
+            at,
+            Happening::DiskDone {
+                machine,
+                starts,
+                serial,
+            },
+        );
     }
 
     /// Somebody on the machine calls its process; nothing happens if it does not run.
@@ -383,13 +419,18 @@
 
     /// Time passes, with nothing happening.
     pub fn pass(&mut self, until: Micros) {
-        assert!(self.next_at().is_none_or(|at| at >= until), "something happens before");
+        assert!(
+            self.next_at().is_none_or(|at| at >= until),
+            "something happens before"
+        );
         self.now = self.now.max(until);
     }
 
     /// The next thing happens.
     pub fn step(&mut self, watch: &mut impl Watch<N>) {
-        let Some(((at, _), what)) = self.ahead.pop_first() else { return };
+        let Some(((at, _), what)) = self.ahead.pop_first() else {
+            return;
+        };
         self.now = at;
         match what {
             Happening::Deliver { from, to, message } => {
@@ -403,7 +444,11 @@
                     self.give(machine, Input::Tick, watch);
                 }
             }
-            Happening::DiskDone { machine, starts, serial } => self.disk_done(machine, starts, serial, watch),
+            Happening::DiskDone {
+                machine,
+                starts,
+                serial,
+            } => self.disk_done(machine, starts, serial, watch),
         }
     }
 
@@ -412,7 +457,9 @@
         if this.starts != starts || this.trouble == Trouble::Hangs {
             return;
         }
-        let Some((_, write)) = this.writing.take_if(|(writing, _)| *writing == serial) else { return };
+        let Some((_, write)) = this.writing.take_if(|(writing, _)| *writing == serial) else {
+            return;
+        };
         let input = if this.trouble == Trouble::Full {
             Input::Refused(serial)
         } else {
@@ -463,7 +510,10 @@
         let overdue = due.is_some_and(|due| due <= clock);
         let this = &mut self.machines[machine];
         this.overdue = if overdue { this.overdue + 1 } else { 0 };
-        assert!(this.overdue < 3, "machine {machine} wants to be woken again and again");
+        assert!(
+            this.overdue < 3,
+            "machine {machine} wants to be woken again and again"
+        );
         let at = due.map(|due| self.now + due.saturating_sub(clock) + self.rng.gen_range(1..LATE));
         self.machines[machine].wake_at = at;
         if let Some(at) = at {
@@ -473,7 +523,9 @@
 
     fn send(&mut self, from: usize, to: SocketAddrV4, message: N::Message) {
         self.messages += 1;
-        let Some(to) = (0..self.machines.len()).find(|machine| address(*machine) == to) else { return };
+        let Some(to) = (0..self.machines.len()).find(|machine| address(*machine) == to) else {
+            return;
+        };
         if self.cuts.contains(&(from, to)) || self.rng.gen_ratio(self.net.lost, 1000) {
             return;
         }
@@ -483,14 +535,25 @@
             *sent_at = self.now.max(*sent_at) + N::weight(&message) as u64 * SECOND / rate;
             queued = *sent_at - self.now;
         }
-        let copies = if self.rng.gen_ratio(self.net.doubled, 1000) { 2 } else { 1 };
+        let copies = if self.rng.gen_ratio(self.net.doubled, 1000) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let lag = self.machines[from].lag + self.machines[to].lag;
             let delay = queued
                 + self.net.delay
                 + self.rng.gen_range(0..=self.net.jitter)
                 + self.rng.gen_range(0..=lag);
-            self.plan(self.now + delay, Happening::Deliver { from, to, message: message.clone() });
+            self.plan(
+                self.now + delay,
+                Happening::Deliver {
+                    from,
+                    to,
+                    message: message.clone(),
+                },
+            );
         }
     }
 }
--- a/tools/raft-simulation/tests/contact/machines.rs
+++ b/tools/raft-simulation/tests/contact/machines.rs
@@ -19,7 +19,11 @@
 #[derive(Clone)]
 pub enum Message {
     Core(Envelope),
-    Link { from: SocketAddrV4, link: u64, segment: Segment },
+    Link {
+        from: SocketAddrV4,
+        link: u64,
+        segment: Segment,
+    },
 }
 
 pub enum Call {
@@ -86,11 +90,18 @@
         for action in actions {
             match action {
                 Action::Send(envelope) => {
-                    effects.push(Effect::Send { to: envelope.to.address, message: Message::Core(envelope) });
+                    effects.push(Effect::Send {
+                        to: envelope.to.address,
+                        message: Message::Core(envelope),
+                    });
                 }
-                Action::Write { serial, batch } => effects.push(Effect::Write { serial, write: batch }),
+                Action::Write { serial, batch } => effects.push(Effect::Write {
+                    serial,
+                    write: batch,
+                }),
                 Action::Apply { index, command } => {
-                    self.records.apply(index, &Command::unpack(&command).expect("ours"));
+                    self.records
+                        .apply(index, &Command::unpack(&command).expect("ours"));
                     self.newest(now, effects);
                 }
                 Action::Restore { state, .. } => {
@@ -106,12 +117,21 @@
                 self.say(to, link, Segment::Reset, effects);
             }
             self.welcomes.clear();
-            self.feed(now, config_sender::Event::Leads { term: self.leading() }, effects);
+            self.feed(
+                now,
+                config_sender::Event::Leads {
+                    term: self.leading(),
+                },
+                effects,
+            );
         }
         for (ticket, outcome) in answered {
             let committed = matches!(outcome, Outcome::Committed { .. });
             if let Some(number) = self.sent.remove(&ticket).filter(|_| committed) {
-                effects.push(Effect::Note(Note::Acknowledged { number, term: self.core.term() }));
+                effects.push(Effect::Note(Note::Acknowledged {
+                    number,
+                    term: self.core.term(),
+                }));
             }
             if let Some((link, hello, term)) = self.asked.remove(&ticket) {
                 let confirmed = term.filter(|_| committed && self.leading() == term);
@@ -119,7 +139,10 @@
             }
         }
         if self.core.wants_compact() {
-            let event = Event::Compact { index: self.core.applied(), state: self.records.pack() };
+            let event = Event::Compact {
+                index: self.core.applied(),
+                state: self.records.pack(),
+            };
             self.event(now, event, effects);
         }
     }
@@ -142,15 +165,38 @@
         match confirmed.filter(|term| self.roster.hello(now, link, *term, &hello)) {
             Some(term) => {
                 let services = self.records.services.clone().into_iter().collect();
-                self.tell(now, link, Fenced { term, word: Down::Services(services) }, effects);
+                self.tell(
+                    now,
+                    link,
+                    Fenced {
+                        term,
+                        word: Down::Services(services),
+                    },
+                    effects,
+                );
                 let counters = self.roster.count(now);
-                let word = Down::Welcome { core, counters, asked: hello.at };
-                self.welcomes.insert(link, frame(&Fenced { term, word }).into());
-                self.feed(now, config_sender::Event::Opened { link, held: hello.edition }, effects);
+                let word = Down::Welcome {
+                    core,
+                    counters,
+                    asked: hello.at,
+                };
+                self.welcomes
+                    .insert(link, frame(&Fenced { term, word }).into());
+                self.feed(
+                    now,
+                    config_sender::Event::Opened {
+                        link,
+                        held: hello.edition,
+                    },
+                    effects,
+                );
             }
             None => {
                 let leader = self.core.leader().filter(|leader| *leader != self.me);
-                let told = Fenced { term: self.core.term(), word: Down::Elsewhere { leader, core } };
+                let told = Fenced {
+                    term: self.core.term(),
+                    word: Down::Elsewhere { leader, core },
+                };
                 // The counter ends the link.
                 self.tell(now, link, told, effects);
             }
@@ -162,19 +208,30 @@
     }
 
     fn tell_frame(&mut self, now: Micros, link: u64, bytes: Bytes, effects: &mut Effects) {
-        let Some((to, pipe)) = self.links.get_mut(&link) else { return };
+        let Some((to, pipe)) = self.links.get_mut(&link) else {
+            return;
+        };
         let (to, segment) = (*to, pipe.send(now, bytes));
         self.say(to, link, segment, effects);
     }
 
     fn say(&self, to: SocketAddrV4, link: u64, segment: Segment, effects: &mut Effects) {
-        effects.push(Effect::Send { to, message: Message::Link { from: self.me, link, segment } });
+        effects.push(Effect::Send {
+            to,
+            message: Message::Link {
+                from: self.me,
+                link,
+                segment,
+            },
+        });
     }
 
     fn feed(&mut self, now: Micros, event: config_sender::Event, effects: &mut Effects) {
         for action in self.feeds.step(now, event) {
             match action {
-                config_sender::Action::Send { link, frame } => self.tell_frame(now, link, frame, effects),
+                config_sender::Action::Send { link, frame } => {
+                    self.tell_frame(now, link, frame, effects)
+                }
                 config_sender::Action::Current { link } => {
                     if let Some(welcome) = self.welcomes.remove(&link) {
                         self.tell_frame(now, link, welcome, effects);
@@ -203,7 +260,9 @@
     ) {
         match segment {
             Segment::Open => {
-                self.links.entry(link).or_insert_with(|| (from, Pipe::default()));
+                self.links
+                    .entry(link)
+                    .or_insert_with(|| (from, Pipe::default()));
                 self.say(from, link, Segment::Opened, effects);
             }
             Segment::Reset => self.let_go(now, link, effects),
@@ -219,7 +278,9 @@
                 let (frames, ack) = pipe.take(place, bytes);
                 self.say(from, link, ack, effects);
                 for bytes in frames {
-                    let up = unframe::<Up>(&mut bytes.to_vec()).expect("ours").expect("whole");
+                    let up = unframe::<Up>(&mut bytes.to_vec())
+                        .expect("ours")
+                        .expect("whole");
                     self.heard(now, link, up, effects);
                 }
             }
@@ -239,13 +300,18 @@
                 if !self.roster.report(now, link, report) {
                     let to = self.links.get(&link).map(|(to, _)| *to);
                     self.let_go(now, link, effects);
-                    to.into_iter().for_each(|to| self.say(to, link, Segment::Reset, effects));
+                    to.into_iter()
+                        .for_each(|to| self.say(to, link, Segment::Reset, effects));
                 }
             }
-            Up::Got { number, upto } => {
-                self.feed(now, config_sender::Event::Got { link, number, upto }, effects)
+            Up::Got { number, upto } => self.feed(
+                now,
+                config_sender::Event::Got { link, number, upto },
+                effects,
+            ),
+            Up::Holds { edition } => {
+                self.feed(now, config_sender::Event::Holds { link, edition }, effects)
             }
-            Up::Holds { edition } => self.feed(now, config_sender::Event::Holds { link, edition }, effects),
         }
     }
 
@@ -257,7 +323,11 @@
                 let edition = self.records.edition.as_ref().map_or(0, |kept| kept.number);
                 let asked: Vec<(u64, Micros)> = self.roster.asked().collect();
                 for (link, asked) in asked {
-                    let word = Down::Beat { counters, asked, edition };
+                    let word = Down::Beat {
+                        counters,
+                        asked,
+                        edition,
+                    };
                     self.tell(now, link, Fenced { term, word }, effects);
                 }
                 self.feed(now, config_sender::Event::Tick, effects);
@@ -268,7 +338,9 @@
             let (to, pipe) = self.links.get_mut(&link).expect("listed");
             let to = *to;
             match pipe.tick(now) {
-                Some(again) => again.into_iter().for_each(|segment| self.say(to, link, segment, effects)),
+                Some(again) => again
+                    .into_iter()
+                    .for_each(|segment| self.say(to, link, segment, effects)),
                 None => self.let_go(now, link, effects),
             }
         }
@@ -312,10 +384,17 @@
                 }),
                 controller_client::Action::Report => {
                     let (edition, term) = (self.edition, self.tendril.term());
-                    Up::Report(Report { edition, evidence: Vec::new(), term, at: now })
+                    Up::Report(Report {
+                        edition,
+                        evidence: Vec::new(),
+                        term,
+                        at: now,
+                    })
                 }
                 controller_client::Action::Take => {
-                    effects.push(Effect::Note(Note::Took { term: self.tendril.term() }));
+                    effects.push(Effect::Note(Note::Took {
+                        term: self.tendril.term(),
+                    }));
                     let answer = word.and_then(|word| self.take(word));
                     self.tendril.in_force(self.edition);
                     match answer {
@@ -337,12 +416,17 @@
             Down::Piece(piece) => {
                 let taken = self.intake.take(self.kept.as_ref(), piece);
                 if let Taken::More(upto) = taken {
-                    return Some(Up::Got { number: piece.number, upto });
+                    return Some(Up::Got {
+                        number: piece.number,
+                        upto,
+                    });
                 }
                 if let Taken::Whole(kept) = taken {
                     (self.edition, self.kept) = (kept.number, Some(kept));
                 }
-                return Some(Up::Holds { edition: self.edition });
+                return Some(Up::Holds {
+                    edition: self.edition,
+                });
             }
             _ => {}
         }
@@ -351,7 +435,11 @@
 
     fn say(&self, segment: Segment, effects: &mut Effects) {
         if let Some((link, to, _)) = &self.link {
-            let message = Message::Link { from: self.me, link: *link, segment };
+            let message = Message::Link {
+                from: self.me,
+                link: *link,
+                segment,
+            };
             effects.push(Effect::Send { to: *to, message });
         }
     }
@@ -362,7 +450,9 @@
     }
 
     fn segment(&mut self, now: Micros, link: u64, segment: Segment, effects: &mut Effects) {
-        let Some((_, _, pipe)) = self.link.as_mut().filter(|(own, ..)| *own == link) else { return };
+        let Some((_, _, pipe)) = self.link.as_mut().filter(|(own, ..)| *own == link) else {
+            return;
+        };
         match segment {
             Segment::Opened => self.event(now, controller_client::Event::Opened, effects),
             Segment::Reset => {
@@ -378,8 +468,12 @@
                     if self.link.as_ref().is_none_or(|(own, ..)| *own != link) {
                         return;
                     }
-                    let told = unframe::<Fenced<Down>>(&mut bytes.to_vec()).expect("ours").expect("whole");
-                    let actions = self.tendril.step(now, controller_client::Event::Heard(&told));
+                    let told = unframe::<Fenced<Down>>(&mut bytes.to_vec())
+                        .expect("ours")
+                        .expect("whole");
+                    let actions = self
+                        .tendril
+                        .step(now, controller_client::Event::Heard(&told));
                     self.act(now, actions, Some(&told.word), effects);
                 }
             }
@@ -389,7 +483,9 @@
 
     fn tick(&mut self, now: Micros, effects: &mut Effects) {
         match self.link.as_mut().map(|(_, _, pipe)| pipe.tick(now)) {
-            Some(Some(again)) => again.into_iter().for_each(|segment| self.say(segment, effects)),
+            Some(Some(again)) => again
+                .into_iter()
+                .for_each(|segment| self.say(segment, effects)),
             Some(None) => {
                 self.link = None;
                 self.event(now, controller_client::Event::Closed, effects);
@@ -424,11 +520,29 @@
     type Note = Note;
 
     fn start(boot: &Boot, now: Micros, disk: &Stored) -> (Machine, Effects) {
-        let Boot { me, seeds, first_run, seed, withstand, catch_up, .. } = boot.clone();
+        let Boot {
+            me,
+            seeds,
+            first_run,
+            seed,
+            withstand,
+            catch_up,
+            ..
+        } = boot.clone();
         let mut effects = Vec::new();
         if seeds.contains(&me) {
-            let (core, actions) =
-                Core::start(now, Start { me, seeds, first_run, seed, withstand, catch_up }, disk.clone());
+            let (core, actions) = Core::start(
+                now,
+                Start {
+                    me,
+                    seeds,
+                    first_run,
+                    seed,
+                    withstand,
+                    catch_up,
+                },
+                disk.clone(),
+            );
             let mut sorting = Sorting {
                 me,
                 core,
@@ -470,18 +584,31 @@
                     Input::Message(Message::Core(envelope)) => {
                         sorting.event(now, Event::Receive(envelope), &mut effects);
                     }
-                    Input::Message(Message::Link { from, link, segment }) => {
+                    Input::Message(Message::Link {
+                        from,
+                        link,
+                        segment,
+                    }) => {
                         sorting.segment(now, from, link, segment, &mut effects);
                     }
-                    Input::Synced(serial) => sorting.event(now, Event::Synced { serial }, &mut effects),
-                    Input::Refused(serial) => sorting.event(now, Event::Refused { serial }, &mut effects),
+                    Input::Synced(serial) => {
+                        sorting.event(now, Event::Synced { serial }, &mut effects)
+                    }
+                    Input::Refused(serial) => {
+                        sorting.event(now, Event::Refused { serial }, &mut effects)
+                    }
                     Input::Call(Call::Replace(number)) => {
                         sorting.next_ticket += 1;
                         let ticket = sorting.next_ticket;
                         sorting.sent.insert(ticket, number);
                         // Some take one piece, some several.
-                        let text = format!("{number} ").repeat(if number % 3 == 0 { 9_000 } else { 9 });
-                        let command = Command::Replace(Kept { number, text: text.into() }).pack();
+                        let text =
+                            format!("{number} ").repeat(if number % 3 == 0 { 9_000 } else { 9 });
+                        let command = Command::Replace(Kept {
+                            number,
+                            text: text.into(),
+                        })
+                        .pack();
                         sorting.event(now, Event::Propose { ticket, command }, &mut effects);
                     }
                 }
@@ -503,7 +630,9 @@
         match self {
             Machine::Sorting(sorting) => {
                 let pipes = sorting.links.values().filter_map(|(_, pipe)| pipe.due());
-                pipes.chain([sorting.core.next_wake(), sorting.beat_at]).min()
+                pipes
+                    .chain([sorting.core.next_wake(), sorting.beat_at])
+                    .min()
             }
             Machine::Counter(counter) => {
                 let pipe = counter.link.as_ref().and_then(|(_, _, pipe)| pipe.due());
--- a/tools/raft-simulation/tests/contact/main.rs
+++ b/tools/raft-simulation/tests/contact/main.rs
@@ -47,13 +47,18 @@
             Note::Acknowledged { number, term } => self.acknowledged.push((self.now, number, term)),
             Note::Took { term } => {
                 let before = self.terms.insert(machine, term).unwrap_or(0);
-                assert!(term >= before, "counter {machine} took a word of term {term} after one of {before}");
+                assert!(
+                    term >= before,
+                    "counter {machine} took a word of term {term} after one of {before}"
+                );
             }
         }
     }
 
     fn stepped(&mut self, machine: usize, node: &Machine) {
-        let Some(counter) = node.counter() else { return };
+        let Some(counter) = node.counter() else {
+            return;
+        };
         let before = self.editions.insert(machine, counter.edition).unwrap_or(0);
         assert!(
             counter.edition >= before,
@@ -72,10 +77,19 @@
                 ago(at) / MILLI
             );
         }
-        assert!(!counter.knows() || confirmed.is_some(), "counter {machine} serves by what nobody confirmed");
+        assert!(
+            !counter.knows() || confirmed.is_some(),
+            "counter {machine} serves by what nobody confirmed"
+        );
         if counter.tendril.holds(counter.now) {
-            let (term, since) = (counter.tendril.term(), self.now.saturating_sub(FRESH + FRESH / 500));
-            let newer = self.acknowledged.iter().find(|(at, _, other)| *at < since && *other > term);
+            let (term, since) = (
+                counter.tendril.term(),
+                self.now.saturating_sub(FRESH + FRESH / 500),
+            );
+            let newer = self
+                .acknowledged
+                .iter()
+                .find(|(at, _, other)| *at < since && *other > term);
             assert!(
                 newer.is_none(),
                 "counter {machine} holds the leader of {term} at {}: {newer:?}",
@@ -104,7 +118,11 @@
             editions: HashMap::new(),
         };
         (0..sorting + counters).for_each(|_| _ = world.add(seeds.clone(), true));
-        let mut hall = Hall { world, checks, next_edition: 1 };
+        let mut hall = Hall {
+            world,
+            checks,
+            next_edition: 1,
+        };
         (0..sorting + counters).for_each(|machine| hall.start(machine));
         hall.run_until(2 * SECOND, |hall| hall.leader().is_some());
         hall.replace_until_acknowledged();
@@ -188,12 +206,16 @@
     fn replace(&mut self, machine: usize) -> u64 {
         self.next_edition += 1;
         self.checks.now = self.world.now();
-        self.world.call(machine, Call::Replace(self.next_edition), &mut self.checks);
+        self.world
+            .call(machine, Call::Replace(self.next_edition), &mut self.checks);
         self.next_edition
     }
 
     fn is_acknowledged(&self, number: u64) -> bool {
-        self.checks.acknowledged.iter().any(|(_, acknowledged, _)| *acknowledged == number)
+        self.checks
+            .acknowledged
+            .iter()
+            .any(|(_, acknowledged, _)| *acknowledged == number)
     }
 
     fn replace_until_acknowledged(&mut self) -> u64 {
@@ -262,9 +284,16 @@
     for _ in 0..18 {
         hall.run_for(SECOND);
         let counter = hall.counter(anew).expect("it runs");
-        assert!(!counter.knows() && counter.edition == 0, "it serves by edition {}", counter.edition);
+        assert!(
+            !counter.knows() && counter.edition == 0,
+            "it serves by edition {}",
+            counter.edition
+        );
         let now = hall.world.clock(stuck);
-        assert!(!hall.counter(stuck).expect("it runs").tendril.holds(now), "it holds a leader of the past");
+        assert!(
+            !hall.counter(stuck).expect("it runs").tendril.holds(now),
+            "it holds a leader of the past"
+        );
         assert!(!hall.is_acknowledged(refused) || hall.checks.newest(Micros::MAX) >= newest);
     }
     assert!((sorting..sorting + 2).all(|c| hall.counter(c).is_some_and(|c| c.edition >= newest)));
@@ -283,7 +312,9 @@
         let old = hall.leader().expect("one");
         hall.cut_off(old, true, mute);
         let end = hall.world.now() + 2 * SECOND;
-        assert!(hall.run_until(end, |hall| hall.leader().is_some_and(|leader| leader != old)));
+        assert!(hall.run_until(end, |hall| hall
+            .leader()
+            .is_some_and(|leader| leader != old)));
         let new = hall.leader().expect("just seen");
         let number = hall.replace(new);
         assert!(hall.run_until(end, |hall| hall.is_acknowledged(number)));
@@ -321,7 +352,10 @@
     hall.run_for(SECOND);
     hall.all().for_each(|machine| hall.start(machine));
     let end = hall.world.now() + 1_300 * MILLI;
-    assert!(hall.run_until(end, |hall| hall.leader().is_some()), "no leader");
+    assert!(
+        hall.run_until(end, |hall| hall.leader().is_some()),
+        "no leader"
+    );
     // Each asks again within 80 ms.
     let end = hall.world.now() + 150 * MILLI;
     assert!(hall.run_until(end, Hall::all_serve), "counters don't begin");
@@ -329,12 +363,20 @@
 
 /// How many seeds are played of what goes by chance.
 fn seeds() -> u64 {
-    std::env::var("CONTACT_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(5)
+    std::env::var("CONTACT_SEEDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(5)
 }
 
 fn endure(seed: u64, sorting: usize, steps: u64) {
     let mut hall = Hall::open(seed, sorting, 4);
-    let mut chaos = Chaos::new(seed, hall.world.now(), [SECOND, 4 * SECOND][(seed % 2) as usize], Net::CALM);
+    let mut chaos = Chaos::new(
+        seed,
+        hall.world.now(),
+        [SECOND, 4 * SECOND][(seed % 2) as usize],
+        Net::CALM,
+    );
     let mut call_at = 0;
     while hall.world.steps() < steps {
         let next = chaos.next_at().min(call_at);
@@ -349,7 +391,9 @@
             Some(fault) => {
                 match fault {
                     Fault::Kill(machine) => hall.checks.restarted(machine),
-                    Fault::KillAll => hall.all().for_each(|machine| hall.checks.restarted(machine)),
+                    Fault::KillAll => hall
+                        .all()
+                        .for_each(|machine| hall.checks.restarted(machine)),
                     _ => {}
                 }
                 chaos.break_it(&mut hall.world, fault);
@@ -363,7 +407,9 @@
                 core.is_some_and(|core| core.role() == magpieline_raft::Role::Leader)
             };
             let asked: Vec<usize> = (0..sorting).filter(leads).collect();
-            asked.into_iter().for_each(|machine| _ = hall.replace(machine));
+            asked
+                .into_iter()
+                .for_each(|machine| _ = hall.replace(machine));
         }
     }
     hall.checks.now = hall.world.now();
@@ -373,10 +419,16 @@
         hall.world.thaw(machine, &mut hall.checks);
     }
     let end = hall.world.now() + 12 * SECOND;
-    assert!(hall.run_until(end, |hall| hall.leader().is_some()), "no leader");
+    assert!(
+        hall.run_until(end, |hall| hall.leader().is_some()),
+        "no leader"
+    );
     hall.replace_until_acknowledged();
     let end = hall.world.now() + 4 * SECOND;
-    assert!(hall.run_until(end, Hall::all_serve), "counters don't come back");
+    assert!(
+        hall.run_until(end, Hall::all_serve),
+        "counters don't come back"
+    );
 }
 
 /// Guards all of it under whatever comes. `CONTACT_SEEDS` plays more.
--- a/tools/raft-simulation/tests/contact/pipe.rs
+++ b/tools/raft-simulation/tests/contact/pipe.rs
@@ -44,7 +44,11 @@
     }
 
     pub fn acked(&mut self, now: Micros, upto: u64) {
-        while self.unacked.front().is_some_and(|(place, _)| *place <= upto) {
+        while self
+            .unacked
+            .front()
+            .is_some_and(|(place, _)| *place <= upto)
+        {
             self.unacked.pop_front();
             self.moved_at = now;
         }
@@ -56,7 +60,10 @@
         }
         self.sent += 1;
         self.unacked.push_back((self.sent, bytes.clone()));
-        Segment::Frame { place: self.sent, bytes }
+        Segment::Frame {
+            place: self.sent,
+            bytes,
+        }
     }
 
     /// What is to be sent again; none: the link has ended.
@@ -65,8 +72,10 @@
             return Some(Vec::new());
         }
         self.again_at = now + AGAIN;
-        let again =
-            self.unacked.iter().map(|(place, bytes)| Segment::Frame { place: *place, bytes: bytes.clone() });
+        let again = self.unacked.iter().map(|(place, bytes)| Segment::Frame {
+            place: *place,
+            bytes: bytes.clone(),
+        });
         (now < self.moved_at + UNTAKEN).then(|| again.collect())
     }
 
--- a/tools/raft-simulation/tests/directed.rs
+++ b/tools/raft-simulation/tests/directed.rs
@@ -7,8 +7,15 @@
 
 /// Machines with a leader that has led for a second.
 fn grown(machines: usize, seed: u64) -> Grove {
-    let mut grove = Grove::plant(Planting { seed, machines, net: Net::CALM });
-    assert!(grove.run_until(SECOND, |grove| grove.leader().is_some()), "a first leader within a second");
+    let mut grove = Grove::plant(Planting {
+        seed,
+        machines,
+        net: Net::CALM,
+    });
+    assert!(
+        grove.run_until(SECOND, |grove| grove.leader().is_some()),
+        "a first leader within a second"
+    );
     grove.run_for(SECOND);
     acknowledge(&mut grove);
     grove
@@ -22,14 +29,22 @@
 fn acknowledge(grove: &mut Grove) {
     let ticket = grove.propose(grove.leader().expect("a leader"), 100);
     let end = grove.world.now() + SECOND;
-    assert!(grove.run_until(end, |grove| is_committed(grove, ticket)), "{}", grove.report());
+    assert!(
+        grove.run_until(end, |grove| is_committed(grove, ticket)),
+        "{}",
+        grove.report()
+    );
 }
 
 /// Waits for a leader that is not `old`, at most `span`.
 fn next_leader(grove: &mut Grove, old: usize, span: u64) -> usize {
     let end = grove.world.now() + span;
     let stands = |grove: &Grove| grove.leader().is_some_and(|leader| leader != old);
-    assert!(grove.run_until(end, stands), "no new leader: {}", grove.report());
+    assert!(
+        grove.run_until(end, stands),
+        "no new leader: {}",
+        grove.report()
+    );
     grove.leader().expect("just seen")
 }
 
@@ -37,16 +52,26 @@
 fn read_back(grove: &mut Grove) {
     let ticket = grove.read(grove.leader().expect("a leader"));
     let end = grove.world.now() + SECOND;
-    assert!(grove.run_until(end, |grove| is_committed(grove, ticket)), "{}", grove.report());
+    assert!(
+        grove.run_until(end, |grove| is_committed(grove, ticket)),
+        "{}",
+        grove.report()
+    );
 }
 
 fn becomes_whole(grove: &mut Grove, span: u64) {
     let end = grove.world.now() + span;
-    assert!(grove.run_until(end, Grove::is_whole), "not whole: {}", grove.report());
+    assert!(
+        grove.run_until(end, Grove::is_whole),
+        "not whole: {}",
+        grove.report()
+    );
 }
 
 fn all_but(grove: &Grove, machine: usize) -> Vec<usize> {
-    (0..grove.world.machines()).filter(|other| *other != machine).collect()
+    (0..grove.world.machines())
+        .filter(|other| *other != machine)
+        .collect()
 }
 
 /// Guards against an acknowledgement that only the leader's memory bore out.
@@ -71,7 +96,11 @@
     others.iter().for_each(|machine| grove.world.kill(*machine));
     grove.start(wiped);
     grove.run_for(SECOND);
-    assert_eq!(grove.leader(), None, "an empty machine alone decides nothing");
+    assert_eq!(
+        grove.leader(),
+        None,
+        "an empty machine alone decides nothing"
+    );
     others.iter().for_each(|machine| grove.start(*machine));
     next_leader(&mut grove, wiped, 1_500 * MILLI);
     read_back(&mut grove);
@@ -207,9 +236,16 @@
 /// one address is right, vote soon, two at a time.
 #[test]
 fn added_machines_with_old_seeds_vote_soon() {
-    let planting = Planting { seed: 11, machines: 3, net: Net::CALM };
+    let planting = Planting {
+        seed: 11,
+        machines: 3,
+        net: Net::CALM,
+    };
     let mut grove = Grove::plant_for(planting, 2, 4 * SECOND);
-    assert!(grove.run_until(SECOND, |grove| grove.leader().is_some()), "a first leader within a second");
+    assert!(
+        grove.run_until(SECOND, |grove| grove.leader().is_some()),
+        "a first leader within a second"
+    );
     grove.run_for(SECOND);
     grove.add();
     grove.run_for(SECOND);
@@ -238,7 +274,12 @@
 }
 
 fn voters(grove: &Grove) -> Vec<Seat> {
-    grove.tree(grove.leader().unwrap()).unwrap().core().voters().to_vec()
+    grove
+        .tree(grove.leader().unwrap())
+        .unwrap()
+        .core()
+        .voters()
+        .to_vec()
 }
 
 /// Guards against a voter that is gone for good and counts for ever: a machine that waits takes its place as soon as it
@@ -248,8 +289,11 @@
     let mut grove = grown(if one_waits { 4 } else { 3 }, 13);
     grove.run_for(4 * SECOND);
     let leader = grove.leader().unwrap();
-    let is_voter = |machine: &usize| voters(&grove).contains(&grove.tree(*machine).unwrap().core().me());
-    let gone = (0..3).find(|machine| *machine != leader && is_voter(machine)).unwrap();
+    let is_voter =
+        |machine: &usize| voters(&grove).contains(&grove.tree(*machine).unwrap().core().me());
+    let gone = (0..3)
+        .find(|machine| *machine != leader && is_voter(machine))
+        .unwrap();
     let seat = grove.tree(gone).unwrap().core().me();
     grove.world.kill(gone);
     if !one_waits {
@@ -321,5 +365,9 @@
     let before = grove.world.messages();
     grove.run_for(10 * SECOND);
     let most = 10 * 10 * 2 * (machines as u64 - 1);
-    assert!(grove.world.messages() - before <= most, "{} of {most}", grove.world.messages() - before);
+    assert!(
+        grove.world.messages() - before <= most,
+        "{} of {most}",
+        grove.world.messages() - before
+    );
 }
--- a/tools/raft-simulation/tests/linearizability.rs
+++ b/tools/raft-simulation/tests/linearizability.rs
@@ -2,7 +2,8 @@
 //! give are let pass.
 
 use magpieline_raft_simulation::linearizability::{
-    check, DocumentAnswer, DocumentAsked, Documents, Fate, RolloutAnswer, RolloutAsked, Rollouts, Seen,
+    check, DocumentAnswer, DocumentAsked, Documents, Fate, RolloutAnswer, RolloutAsked, Rollouts,
+    Seen,
 };
 use rstest::rstest;
 use DocumentAnswer::{Held, Refused, Taken};
@@ -10,20 +11,41 @@
 type Documented = Seen<DocumentAsked, DocumentAnswer>;
 type Rolled = Seen<RolloutAsked, RolloutAnswer>;
 
-fn replace(number: u64, document: u64, sent: u64, back: Option<(u64, DocumentAnswer)>) -> Documented {
-    Seen { asked: DocumentAsked::Replace { number, document }, sent, back }
+fn replace(
+    number: u64,
+    document: u64,
+    sent: u64,
+    back: Option<(u64, DocumentAnswer)>,
+) -> Documented {
+    Seen {
+        asked: DocumentAsked::Replace { number, document },
+        sent,
+        back,
+    }
 }
 
 fn read(sent: u64, back: u64, held: Option<(u64, u64)>) -> Documented {
-    Seen { asked: DocumentAsked::Read, sent, back: Some((back, Held(held))) }
+    Seen {
+        asked: DocumentAsked::Read,
+        sent,
+        back: Some((back, Held(held))),
+    }
 }
 
 fn begin(order: u64, content: u64, sent: u64, back: Option<(u64, RolloutAnswer)>) -> Rolled {
-    Seen { asked: RolloutAsked::Begin { order, content }, sent, back }
+    Seen {
+        asked: RolloutAsked::Begin { order, content },
+        sent,
+        back,
+    }
 }
 
 fn state(sent: u64, back: u64, newest: Option<(u64, Fate)>) -> Rolled {
-    Seen { asked: RolloutAsked::State, sent, back: Some((back, RolloutAnswer::Newest(newest))) }
+    Seen {
+        asked: RolloutAsked::State,
+        sent,
+        back: Some((back, RolloutAnswer::Newest(newest))),
+    }
 }
 
 const TAKEN: Option<(u64, RolloutAnswer)> = Some((2, RolloutAnswer::Taken));
--- a/tools/raft-simulation/tests/replaced.rs
+++ b/tools/raft-simulation/tests/replaced.rs
@@ -10,8 +10,15 @@
 
 /// Machines with a leader that has led for a second.
 fn grown(machines: usize, seed: u64) -> Grove {
-    let mut grove = Grove::plant(Planting { seed, machines, net: Net::CALM });
-    assert!(grove.run_until(SECOND, |grove| grove.leader().is_some()), "a first leader within a second");
+    let mut grove = Grove::plant(Planting {
+        seed,
+        machines,
+        net: Net::CALM,
+    });
+    assert!(
+        grove.run_until(SECOND, |grove| grove.leader().is_some()),
+        "a first leader within a second"
+    );
     grove.run_for(CATCH_UP);
     grove
 }
@@ -48,7 +55,9 @@
         grove.add_with(vec![address((old + 1) % machines), address(old)]);
     }
     grove.run_for(CATCH_UP);
-    let lost: Vec<usize> = (1..=withstand).map(|step| (old + step) % machines).collect();
+    let lost: Vec<usize> = (1..=withstand)
+        .map(|step| (old + step) % machines)
+        .collect();
     lost.iter().for_each(|machine| grove.world.kill(*machine));
     is_led(&mut grove);
     lost.iter().for_each(|machine| grove.start(*machine));
@@ -60,12 +69,23 @@
 #[rstest]
 fn a_rolling_restart_is_quick(#[values(3, 5)] machines: usize, #[values(0, 1, 2)] seed: u64) {
     let mut grove = grown(machines, 200 + seed);
-    let voters = |grove: &Grove| grove.tree(grove.leader().unwrap()).unwrap().core().voters().to_vec();
+    let voters = |grove: &Grove| {
+        grove
+            .tree(grove.leader().unwrap())
+            .unwrap()
+            .core()
+            .voters()
+            .to_vec()
+    };
     let before = voters(&grove);
     for machine in 0..machines {
         let begun = grove.world.now();
         grove.leave(machine);
-        assert!(grove.world.now() - begun < 250 * MILLI, "{} us", grove.world.now() - begun);
+        assert!(
+            grove.world.now() - begun < 250 * MILLI,
+            "{} us",
+            grove.world.now() - begun
+        );
         let led = |grove: &Grove| grove.leader().is_some_and(|leader| leader != machine);
         let end = grove.world.now() + 50 * MILLI;
         assert!(grove.run_until(end, led), "{}", grove.report());
@@ -77,7 +97,10 @@
 
 /// Guards the seat of a machine that stops while one waits: it is the other's before the process ends.
 #[rstest]
-fn a_seat_is_handed_on_before_the_end(#[values(3, 5)] machines: usize, #[values(0, 1, 2)] seed: u64) {
+fn a_seat_is_handed_on_before_the_end(
+    #[values(3, 5)] machines: usize,
+    #[values(0, 1, 2)] seed: u64,
+) {
     let mut grove = grown(machines, 300 + seed);
     let old = (grove.leader().unwrap() + seed as usize) % machines;
     let seat = grove.tree(old).unwrap().core().me();
--- a/tools/raft-simulation/tests/seeds.rs
+++ b/tools/raft-simulation/tests/seeds.rs
@@ -9,7 +9,12 @@
     for seed in part * 10..part * 10 + 10 {
         // A failure says its seed: raft-simulation run --seeds SEED..SEED+1 --machines MACHINES --steps 5000
         println!("seed {seed}, {machines} machines, 5000 steps");
-        Grove::plant(Planting { seed, machines, net: Net::CALM }).endure(seed, 5_000);
+        Grove::plant(Planting {
+            seed,
+            machines,
+            net: Net::CALM,
+        })
+        .endure(seed, 5_000);
     }
 }
 
@@ -24,7 +29,12 @@
     for seed in 0..12 {
         // A failure says its seed: raft-simulation losses --seeds SEED..SEED+1 --machines MACHINES --catch-up CATCH_UP
         println!("seed {seed}, {machines} machines, {catch_up} ms");
-        let planting = Planting { seed, machines, net: Net::CALM };
-        Grove::plant_for(planting, (machines - 1) / 2, catch_up * MILLI).endure_losses(seed, 20_000);
+        let planting = Planting {
+            seed,
+            machines,
+            net: Net::CALM,
+        };
+        Grove::plant_for(planting, (machines - 1) / 2, catch_up * MILLI)
+            .endure_losses(seed, 20_000);
     }
 }
--- a/tools/rollout-simulation/src/cores.rs
+++ b/tools/rollout-simulation/src/cores.rs
@@ -33,7 +33,12 @@
 
 impl Decides {
     fn new(seed: u64) -> Decides {
-        Decides { balancer: balancer(seed), hand: Default::default(), now: 1.0, count: 0 }
+        Decides {
+            balancer: balancer(seed),
+            hand: Default::default(),
+            now: 1.0,
+            count: 0,
+        }
     }
 
     /// Takes a hit and, once enough are in hand, the oldest one's end: two decisions.
@@ -54,7 +59,11 @@
         }
         if self.hand.len() > IN_HAND {
             if let Some(handle) = self.hand.pop_front() {
-                let end = Return { ending: Ending::Delivered, spent: IN_HAND as f64 * 1e-4, over: true };
+                let end = Return {
+                    ending: Ending::Delivered,
+                    spent: IN_HAND as f64 * 1e-4,
+                    over: true,
+                };
                 handle.returned(&mut self.balancer, self.now, end);
             }
         }
@@ -78,7 +87,8 @@
 fn handed(threads: usize, batch: usize, time: Duration) -> f64 {
     type Batch = (usize, Vec<usize>);
     let (give, taken): (Sender<Batch>, Receiver<Batch>) = channel();
-    let (answers, waits): (Vec<Sender<_>>, Vec<Receiver<_>>) = (0..threads).map(|_| channel()).unzip();
+    let (answers, waits): (Vec<Sender<_>>, Vec<Receiver<_>>) =
+        (0..threads).map(|_| channel()).unzip();
     let begun = Instant::now();
     std::thread::scope(|scope| {
         for (n, wait) in waits.into_iter().enumerate() {
@@ -130,7 +140,9 @@
 /// `threads` decide each for its own keys.
 fn divided(threads: usize, time: Duration) -> f64 {
     std::thread::scope(|scope| {
-        let each: Vec<_> = (0..threads).map(|_| scope.spawn(move || alone(time))).collect();
+        let each: Vec<_> = (0..threads)
+            .map(|_| scope.spawn(move || alone(time)))
+            .collect();
         each.into_iter().map(|t| t.join().unwrap_or(0.0)).sum()
     })
 }
@@ -139,14 +151,20 @@
 pub fn table(seconds: f64) -> String {
     let time = Duration::from_secs_f64(seconds);
     let one = alone(time);
-    let mut text =
-        format!("one thread, nothing around it: {one:.0} hits a second, {:.2} us each\n", 1e6 / one);
+    let mut text = format!(
+        "one thread, nothing around it: {one:.0} hits a second, {:.2} us each\n",
+        1e6 / one
+    );
     for threads in [1, 2, 4] {
         text += &format!("{threads} threads:");
         for batch in [1, 16, 64] {
             text += &format!(" handed by {batch}: {:.0},", handed(threads, batch, time));
         }
-        text += &format!(" locked: {:.0}, divided: {:.0}\n", locked(threads, time), divided(threads, time));
+        text += &format!(
+            " locked: {:.0}, divided: {:.0}\n",
+            locked(threads, time),
+            divided(threads, time)
+        );
     }
     text
 }
--- a/tools/rollout-simulation/src/interval.rs
+++ b/tools/rollout-simulation/src/interval.rs
@@ -6,8 +6,16 @@
 pub fn exact(hits: usize, runs: usize) -> (f64, f64) {
     let (k, n) = (hits as f64, runs as f64);
     let at = |a: f64, b: f64, p: f64| Beta::new(a, b).map_or(f64::NAN, |beta| beta.inverse_cdf(p));
-    let low = if hits == 0 { 0.0 } else { at(k, n - k + 1.0, 0.025) };
-    let high = if hits >= runs { 1.0 } else { at(k + 1.0, n - k, 0.975) };
+    let low = if hits == 0 {
+        0.0
+    } else {
+        at(k, n - k + 1.0, 0.025)
+    };
+    let high = if hits >= runs {
+        1.0
+    } else {
+        at(k + 1.0, n - k, 0.975)
+    };
     (low, high)
 }
 
@@ -18,7 +26,10 @@
         // 0 of 300: 1 - 0.025^(1/300); 5 of 100: from printed tables.
         assert!((super::exact(0, 300).1 - 0.012_220).abs() < 1e-5);
         let (low, high) = super::exact(5, 100);
-        assert!((low - 0.016_432).abs() < 1e-5 && (high - 0.112_835).abs() < 1e-5, "{low} {high}");
+        assert!(
+            (low - 0.016_432).abs() < 1e-5 && (high - 0.112_835).abs() < 1e-5,
+            "{low} {high}"
+        );
         assert_eq!(super::exact(7, 7).1, 1.0);
     }
 }
--- a/tools/rollout-simulation/src/judge.rs
+++ b/tools/rollout-simulation/src/judge.rs
@@ -36,9 +36,15 @@
 impl Judge {
     pub fn terms(self, named: &mut Named) {
         if self == Judge::Stated {
-            let terms = [("good_sent_back", GOOD_SENT_BACK), ("bad_carried", BAD_CARRIED)];
-            let kinds =
-                [("shows_after_s", SHOWS_AFTER), ("bad_complaints", COMPLAINED), ("complaints_late_s", 4.0)];
+            let terms = [
+                ("good_sent_back", GOOD_SENT_BACK),
+                ("bad_carried", BAD_CARRIED),
+            ];
+            let kinds = [
+                ("shows_after_s", SHOWS_AFTER),
+                ("bad_complaints", COMPLAINED),
+                ("complaints_late_s", 4.0),
+            ];
             for (name, value) in terms.into_iter().chain(kinds) {
                 named.insert(format!("verdict.{name}"), Value::Number(value));
             }
@@ -62,7 +68,8 @@
         if trial {
             // The mildest bad rate against a usual one of five in ten thousand.
             let (good, bad): (f64, f64) = (0.0005, 0.04);
-            self.wald += error * (bad / good).ln() + (1.0 - error) * ((1.0 - bad) / (1.0 - good)).ln();
+            self.wald +=
+                error * (bad / good).ln() + (1.0 - error) * ((1.0 - bad) / (1.0 - good)).ln();
         }
     }
 
@@ -70,13 +77,18 @@
     pub fn vote(&self, judge: Judge, ripe: bool) -> Verdict {
         match judge {
             Judge::Clock if ripe => Verdict::On,
-            Judge::Wald if self.wald >= ((1.0 - BAD_CARRIED) / GOOD_SENT_BACK).ln() => Verdict::Back,
-            Judge::Wald if ripe && self.wald <= (BAD_CARRIED / (1.0 - GOOD_SENT_BACK)).ln() => Verdict::On,
+            Judge::Wald if self.wald >= ((1.0 - BAD_CARRIED) / GOOD_SENT_BACK).ln() => {
+                Verdict::Back
+            }
+            Judge::Wald if ripe && self.wald <= (BAD_CARRIED / (1.0 - GOOD_SENT_BACK)).ln() => {
+                Verdict::On
+            }
             // A hundred outcomes, then a test of two shares at one in a hundred (2.33 standard errors).
             Judge::Window if ripe && self.n[1] >= 100.0 => {
                 let share = |i: usize| self.errors[i] / self.n[i].max(1.0);
                 let both = (self.errors[0] + self.errors[1]) / (self.n[0] + self.n[1]);
-                let error = (both * (1.0 - both) * (1.0 / self.n[0].max(1.0) + 1.0 / self.n[1])).sqrt();
+                let error =
+                    (both * (1.0 - both) * (1.0 / self.n[0].max(1.0) + 1.0 / self.n[1])).sqrt();
                 if share(1) - share(0) > 2.33 * error && self.errors[1] > 0.0 {
                     Verdict::Back
                 } else {
--- a/tools/rollout-simulation/src/load.rs
+++ b/tools/rollout-simulation/src/load.rs
@@ -158,7 +158,11 @@
 
 /// Hits a second that all nodes can take, by their mean work.
 pub fn capacity() -> f64 {
-    let work: f64 = parts().iter().zip(WORK).map(|(part, work)| part * work).sum();
+    let work: f64 = parts()
+        .iter()
+        .zip(WORK)
+        .map(|(part, work)| part * work)
+        .sum();
     (Fleet::SIZE * CORES) as f64 / work
 }
 
@@ -183,17 +187,32 @@
     let mut chance = ChaCha8Rng::seed_from_u64(plan.seed);
     let fleet = Fleet::new(&mut chance);
     let (events, count, agents, hits, rest, up) = Default::default();
-    let mut play = Play { plan, chance, now: 0.0, events, count, fleet, agents, hits, rest, up };
+    let mut play = Play {
+        plan,
+        chance,
+        now: 0.0,
+        events,
+        count,
+        fleet,
+        agents,
+        hits,
+        rest,
+        up,
+    };
     for i in 0..plan.agents {
         let agent = play.agent(i);
         play.agents.push(agent);
-        let (review, look) =
-            (play.chance.gen_range(0.0..TICK), play.chance.gen_range(0.0..magpieline_degradation::LOOK));
+        let (review, look) = (
+            play.chance.gen_range(0.0..TICK),
+            play.chance.gen_range(0.0..magpieline_degradation::LOOK),
+        );
         play.at(review, Event::Review(i));
         play.at(look, Event::Look(i));
     }
     play.at(0.0, Event::Arrive);
-    plan.restarts.into_iter().for_each(|when| play.at(when, Event::Restart));
+    plan.restarts
+        .into_iter()
+        .for_each(|when| play.at(when, Event::Restart));
     play.run();
     play.course()
 }
@@ -207,19 +226,40 @@
         let balancer = self.fleet.agent(seed, self.now, named, None);
         let levels = (self.plan.control == Control::Levels).then(|| {
             let groups: Vec<String> = (0..GROUPS).map(|g| format!("group-{g}")).collect();
-            let values = Schema::own().check(LEVELS).expect("the rig's levels are whole");
-            let ladder = Ladder::read(&values, &groups, false).expect("and make sense").expect("levels");
-            let here =
-                Installation { groups, benefits: BENEFIT.to_vec(), accounts: ACCOUNTS, longest_back: 30.0 };
+            let values = Schema::own()
+                .check(LEVELS)
+                .expect("the rig's levels are whole");
+            let ladder = Ladder::read(&values, &groups, false)
+                .expect("and make sense")
+                .expect("levels");
+            let here = Installation {
+                groups,
+                benefits: BENEFIT.to_vec(),
+                accounts: ACCOUNTS,
+                longest_back: 30.0,
+            };
             Levels::start(ladder, here, self.now, seed, None)
         });
-        let (flying, waiting, changes) = (vec![0; self.fleet.nodes.len()], Default::default(), Vec::new());
-        Agent { balancer, levels, flying, waiting, changes, entered: None, left: None }
+        let (flying, waiting, changes) = (
+            vec![0; self.fleet.nodes.len()],
+            Default::default(),
+            Vec::new(),
+        );
+        Agent {
+            balancer,
+            levels,
+            flying,
+            waiting,
+            changes,
+            entered: None,
+            left: None,
+        }
     }
 
     fn at(&mut self, when: f64, event: Event) {
         self.count += 1;
-        self.events.push(Reverse(((when.max(0.0) * 1e6) as Time, self.count, event)));
+        self.events
+            .push(Reverse(((when.max(0.0) * 1e6) as Time, self.count, event)));
     }
 
     fn is_up(&self) -> bool {
@@ -235,12 +275,17 @@
             match event {
                 Event::Arrive => {
                     let load = if self.is_up() { self.plan.load } else { REST };
-                    let gap = -(1.0 - self.chance.gen_range(0.0..1.0f64)).ln() / (load * capacity());
+                    let gap =
+                        -(1.0 - self.chance.gen_range(0.0..1.0f64)).ln() / (load * capacity());
                     self.at(self.now + gap, Event::Arrive);
                     let draw: f64 = self.chance.gen();
                     let group = MIX.iter().position(|m| draw < *m).unwrap_or(GROUPS - 1);
                     let heavy = self.chance.gen_bool(1.0 / 3.0);
-                    let account = if heavy { 0 } else { self.chance.gen_range(1..ACCOUNTS) };
+                    let account = if heavy {
+                        0
+                    } else {
+                        self.chance.gen_range(1..ACCOUNTS)
+                    };
                     self.arrive(group, account, false);
                 }
                 Event::Again(group, account) => self.arrive(group, account, true),
@@ -264,7 +309,10 @@
                 }
                 Event::WaitOver { agent, number } => {
                     if let Some(hit) = self.agents[agent].waiting.remove(&number) {
-                        self.agents[agent].levels.iter_mut().for_each(|l| l.gone(number));
+                        self.agents[agent]
+                            .levels
+                            .iter_mut()
+                            .for_each(|l| l.gone(number));
                         self.turned(hit, 5.0);
                     }
                 }
@@ -317,7 +365,11 @@
         let i = self.hits.len() - 1;
         if let Control::Fixed(of) = self.plan.control {
             let up = self.is_up();
-            let share = if up { shares(self.plan, of)[group] } else { 1.0 };
+            let share = if up {
+                shares(self.plan, of)[group]
+            } else {
+                1.0
+            };
             if !self.chance.gen_bool(share) {
                 return self.turned(i, 5.0);
             }
@@ -339,7 +391,8 @@
     /// Turned away: some come back once, when they were told.
     fn turned(&mut self, i: usize, again_after: f64) {
         self.hits[i].over = true;
-        let (group, account, again) = (self.hits[i].group, self.hits[i].account, self.hits[i].again);
+        let (group, account, again) =
+            (self.hits[i].group, self.hits[i].account, self.hits[i].again);
         if !again && self.chance.gen_bool(self.plan.returns) {
             self.at(self.now + again_after, Event::Again(group, account));
         }
@@ -347,12 +400,23 @@
 
     fn hand_on(&mut self, i: usize) {
         self.hits[i].counted = true;
-        let Hit { agent, group, account, taken, .. } = self.hits[i];
+        let Hit {
+            agent,
+            group,
+            account,
+            taken,
+            ..
+        } = self.hits[i];
         if self.plan.control == Control::Nothing {
             return self.two_choices(i);
         }
         let remaining = TIMEOUT[group] - (self.now - taken);
-        let arrival = Arrival { group, account, remaining, ..Arrival::default() };
+        let arrival = Arrival {
+            group,
+            account,
+            remaining,
+            ..Arrival::default()
+        };
         let (handle, next) = self.agents[agent].balancer.take(self.now, arrival);
         self.hits[i].handle = Some(handle);
         self.carry_out(i, next);
@@ -361,7 +425,10 @@
     fn two_choices(&mut self, i: usize) {
         let agent = self.hits[i].agent;
         let nodes = self.fleet.nodes.len();
-        let (a, b) = (self.chance.gen_range(0..nodes), self.chance.gen_range(0..nodes));
+        let (a, b) = (
+            self.chance.gen_range(0..nodes),
+            self.chance.gen_range(0..nodes),
+        );
         let flying = &self.agents[agent].flying;
         let node = if flying[a] <= flying[b] { a } else { b };
         self.send(i, node, TIMEOUT[self.hits[i].group]);
@@ -385,7 +452,14 @@
 
     /// The final answer, as far as the levels see it.
     fn ended(&mut self, i: usize, fate: Fate) {
-        let Hit { agent, group, taken, first, over, .. } = self.hits[i];
+        let Hit {
+            agent,
+            group,
+            taken,
+            first,
+            over,
+            ..
+        } = self.hits[i];
         if over {
             return;
         }
@@ -398,12 +472,19 @@
             waited: first.map(|f| f - taken),
         };
         let now = self.now;
-        self.agents[agent].levels.iter_mut().for_each(|l| l.ended(now, ended));
+        self.agents[agent]
+            .levels
+            .iter_mut()
+            .for_each(|l| l.ended(now, ended));
         self.let_in(agent);
     }
 
     fn let_in(&mut self, agent: usize) {
-        while let Some(number) = self.agents[agent].levels.as_mut().and_then(Levels::released) {
+        while let Some(number) = self.agents[agent]
+            .levels
+            .as_mut()
+            .and_then(Levels::released)
+        {
             match self.agents[agent].waiting.remove(&number) {
                 Some(hit) => self.hand_on(hit),
                 None => return,
@@ -423,7 +504,11 @@
             return self.returned(i, Ending::TurnedAway);
         }
         let work = WORK[group] * self.chance.gen_range(0.4..1.6);
-        self.fleet.nodes[node].queue.push_back(Job { hit: i, forward, work });
+        self.fleet.nodes[node].queue.push_back(Job {
+            hit: i,
+            forward,
+            work,
+        });
         self.work(node);
     }
 
@@ -431,10 +516,19 @@
         let slows = if self.is_up() { self.plan.slows } else { 1.0 };
         while self.fleet.nodes[node].has_room() {
             let n = &mut self.fleet.nodes[node];
-            let Some(job) = n.queue.pop_front() else { return };
+            let Some(job) = n.queue.pop_front() else {
+                return;
+            };
             n.busy += 1;
             let takes = job.work / n.power(self.now) * slows;
-            self.at(self.now + takes, Event::Done { node, hit: job.hit, forward: job.forward });
+            self.at(
+                self.now + takes,
+                Event::Done {
+                    node,
+                    hit: job.hit,
+                    forward: job.forward,
+                },
+            );
         }
     }
 
@@ -442,7 +536,17 @@
         let now = self.now;
         let hit = &mut self.hits[i];
         hit.out = false;
-        let Hit { agent, handle, group, account, taken, sent, node, over, .. } = *hit;
+        let Hit {
+            agent,
+            handle,
+            group,
+            account,
+            taken,
+            sent,
+            node,
+            over,
+            ..
+        } = *hit;
         self.agents[agent].flying[node] -= 1;
         if over {
             return;
@@ -459,7 +563,11 @@
         }
         match handle {
             Some(handle) => {
-                let end = Return { ending, spent: now - sent, over: false };
+                let end = Return {
+                    ending,
+                    spent: now - sent,
+                    over: false,
+                };
                 let next = handle.returned(&mut self.agents[agent].balancer, now, end);
                 self.carry_out(i, next);
             }
@@ -482,7 +590,9 @@
         let now = self.now;
         self.at(now + magpieline_degradation::LOOK, Event::Look(i));
         let agent = &mut self.agents[i];
-        let Some(levels) = &mut agent.levels else { return };
+        let Some(levels) = &mut agent.levels else {
+            return;
+        };
         if let Some(change) = levels.look(now) {
             agent.changes.push(now);
             if change.to == "full" {
@@ -503,20 +613,35 @@
         };
         let nth = |mut all: Vec<f64>, part: f64| {
             all.sort_by(f64::total_cmp);
-            all.get(((all.len() as f64 * part) as usize).min(all.len().saturating_sub(1))).copied()
+            all.get(((all.len() as f64 * part) as usize).min(all.len().saturating_sub(1)))
+                .copied()
         };
         let times = |of: fn(&Agent) -> Option<f64>| -> Vec<f64> {
-            self.agents.iter().map(|a| of(a).unwrap_or(f64::INFINITY)).collect()
+            self.agents
+                .iter()
+                .map(|a| of(a).unwrap_or(f64::INFINITY))
+                .collect()
         };
-        let gaps = self.agents.iter().flat_map(|a| a.changes.windows(2).map(|w| w[1] - w[0]));
-        let [heavy, others] = self.up.accounts.map(|[asked, in_time]| in_time / f64::max(asked, 1.0));
+        let gaps = self
+            .agents
+            .iter()
+            .flat_map(|a| a.changes.windows(2).map(|w| w[1] - w[0]));
+        let [heavy, others] = self
+            .up
+            .accounts
+            .map(|[asked, in_time]| in_time / f64::max(asked, 1.0));
         Course {
             at_rest: part(&self.rest),
             in_time: part(&self.up),
             benefit: self.up.benefit / (STEP.1 - COUNTED),
             entered: nth(times(|a| a.entered), 0.5).map_or(f64::INFINITY, |t| t - STEP.0),
             left: nth(times(|a| a.left), 0.9).map_or(f64::INFINITY, |t| t - STEP.1),
-            changes: self.agents.iter().map(|a| a.changes.len()).max().unwrap_or(0),
+            changes: self
+                .agents
+                .iter()
+                .map(|a| a.changes.len())
+                .max()
+                .unwrap_or(0),
             closest: gaps.fold(f64::INFINITY, f64::min),
             heavy,
             others,
@@ -542,7 +667,10 @@
         let course = play(&plan);
         assert_eq!(course, play(&plan));
         assert!(course.at_rest.iter().all(|p| *p > 0.98), "{course:?}");
-        assert!(course.closest >= 30.0 && course.entered < 15.0, "{course:?}");
+        assert!(
+            course.closest >= 30.0 && course.entered < 15.0,
+            "{course:?}"
+        );
     }
 
     /// Payments in time while the load is up, with the module alone and with levels, which never change twice in 30 s.
@@ -573,19 +701,29 @@
     /// Who was turned away comes back once, eight in ten of them.
     #[test]
     fn a_retry_storm() {
-        let [alone, levels] = payments(Plan { returns: 0.8, ..PLAN });
+        let [alone, levels] = payments(Plan {
+            returns: 0.8,
+            ..PLAN
+        });
         assert!(levels > 0.9 && levels > alone, "{alone} {levels}");
     }
 
     #[test]
     fn a_shared_slowdown_that_looks_like_load() {
-        let [alone, levels] = payments(Plan { load: 0.8, slows: 1.6, ..PLAN });
+        let [alone, levels] = payments(Plan {
+            load: 0.8,
+            slows: 1.6,
+            ..PLAN
+        });
         assert!(levels > 0.9 && levels >= alone, "{alone} {levels}");
     }
 
     #[test]
     fn all_agents_restart_at_once_in_the_middle() {
-        let [alone, levels] = payments(Plan { restarts: Some(55.0), ..PLAN });
+        let [alone, levels] = payments(Plan {
+            restarts: Some(55.0),
+            ..PLAN
+        });
         assert!(levels > 0.85 && levels > alone, "{alone} {levels}");
     }
 }
--- a/tools/rollout-simulation/src/load_table.rs
+++ b/tools/rollout-simulation/src/load_table.rs
@@ -9,8 +9,11 @@
 use std::fmt::Write;
 use std::path::Path;
 
-pub const CONTROLS: [(&str, Control); 3] =
-    [("nothing", Control::Nothing), ("bounces", Control::Bounces), ("levels", Control::Levels)];
+pub const CONTROLS: [(&str, Control); 3] = [
+    ("nothing", Control::Nothing),
+    ("bounces", Control::Bounces),
+    ("levels", Control::Levels),
+];
 /// Parts of what nodes can take that a fixed admission spends; the best of them is known only in hindsight.
 const FIXED: [f64; 9] = [0.6, 0.65, 0.7, 0.75, 0.8, 0.85, 0.9, 0.95, 1.0];
 
@@ -43,21 +46,31 @@
 
 /// Benefit a second that is asked for at this load.
 fn asked(load: f64) -> f64 {
-    load * capacity() * parts().iter().zip(BENEFIT).map(|(part, benefit)| part * benefit).sum::<f64>()
+    load * capacity()
+        * parts()
+            .iter()
+            .zip(BENEFIT)
+            .map(|(part, benefit)| part * benefit)
+            .sum::<f64>()
 }
 
 /// Plays one cell for all controls.
 pub fn cell(plan: Plan, runs: u64, progress: impl Fn() + Sync) -> Vec<Row> {
     let courses = |control| -> Vec<Course> {
         let one = |i: u64| {
-            let course = play(&Plan { control, seed: plan.seed + i, ..plan });
+            let course = play(&Plan {
+                control,
+                seed: plan.seed + i,
+                ..plan
+            });
             progress();
             course
         };
         (0..runs).into_par_iter().map(one).collect()
     };
-    let mean =
-        |all: &[Course], of: &dyn Fn(&Course) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
+    let mean = |all: &[Course], of: &dyn Fn(&Course) -> f64| {
+        all.iter().map(of).sum::<f64>() / all.len() as f64
+    };
     let fixed = FIXED.map(|of| mean(&courses(Control::Fixed(of)), &|c| c.benefit));
     let best = fixed.into_iter().fold(0.0, f64::max);
     let row = |(name, control): &(&str, Control)| {
@@ -128,8 +141,17 @@
 pub fn chart(rows: &[Row], out: &Path) -> Result<(), String> {
     let told = |e: &dyn std::fmt::Display| format!("{}: {e}", out.display());
     let plain = |r: &&Row| r.slows <= 1.0 && r.returns <= 0.0 && !r.restarts;
-    let agents = rows.iter().filter(plain).map(|r| r.agents).min().ok_or("expected a plain cell")?;
-    let rows: Vec<&Row> = rows.iter().filter(plain).filter(|r| r.agents == agents).collect();
+    let agents = rows
+        .iter()
+        .filter(plain)
+        .map(|r| r.agents)
+        .min()
+        .ok_or("expected a plain cell")?;
+    let rows: Vec<&Row> = rows
+        .iter()
+        .filter(plain)
+        .filter(|r| r.agents == agents)
+        .collect();
     let most = rows.iter().map(|r| r.load).fold(1.0, f64::max);
     let area = SVGBackend::new(out, (800, 480)).into_drawing_area();
     area.fill(&WHITE).map_err(|e| told(&e))?;
@@ -148,7 +170,10 @@
     let colours = [RGBColor(150, 150, 150), RED, BLUE];
     for ((name, _), colour) in CONTROLS.iter().zip(colours) {
         let of = |value: fn(&Row) -> f64| -> Vec<(f64, f64)> {
-            rows.iter().filter(|r| r.control == *name).map(|r| (r.load, value(r))).collect()
+            rows.iter()
+                .filter(|r| r.control == *name)
+                .map(|r| (r.load, value(r)))
+                .collect()
         };
         let thick = LineSeries::new(of(|r| r.group_3), colour.stroke_width(3));
         let series = chart.draw_series(thick).map_err(|e| told(&e))?;
@@ -158,7 +183,11 @@
         let thin = LineSeries::new(of(|r| r.benefit), colour.stroke_width(1));
         chart.draw_series(thin).map_err(|e| told(&e))?;
     }
-    let legend = chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw();
+    let legend = chart
+        .configure_series_labels()
+        .background_style(WHITE)
+        .border_style(BLACK)
+        .draw();
     legend.map_err(|e| told(&e))?;
     area.present().map_err(|e| told(&e))
 }
--- a/tools/rollout-simulation/src/main.rs
+++ b/tools/rollout-simulation/src/main.rs
@@ -149,8 +149,14 @@
 /// Numbers of a list with commas, within bounds.
 fn numbers(what: &str, list: &str, least: f64, most: f64) -> Result<Vec<f64>, String> {
     let one = |word: &str| {
-        let number = word.trim().parse::<f64>().ok().filter(|n| (least..=most).contains(n));
-        number.ok_or_else(|| format!("{what}: found {word}, expected a number from {least} to {most}"))
+        let number = word
+            .trim()
+            .parse::<f64>()
+            .ok()
+            .filter(|n| (least..=most).contains(n));
+        number.ok_or_else(|| {
+            format!("{what}: found {word}, expected a number from {least} to {most}")
+        })
     };
     list.split(',').map(one).collect()
 }
@@ -185,10 +191,16 @@
 }
 
 /// Words of a list with commas, each of which has to be known; all of them where there is none.
-fn words<'a>(what: &str, list: &'a str, known: &[&'static str]) -> Result<Vec<&'static str>, String> {
+fn words<'a>(
+    what: &str,
+    list: &'a str,
+    known: &[&'static str],
+) -> Result<Vec<&'static str>, String> {
     let find = |word: &'a str| {
         let found = known.iter().find(|k| **k == word.trim());
-        found.copied().ok_or_else(|| format!("{what}: found {word}, expected of: {}", known.join(", ")))
+        found
+            .copied()
+            .ok_or_else(|| format!("{what}: found {word}, expected of: {}", known.join(", ")))
     };
     if list.is_empty() {
         return Ok(known.to_vec());
@@ -202,7 +214,9 @@
     let troubles = words("troubles", &run.troubles, &TROUBLES)?;
     let judges = words("judges", &run.judges, &JUDGES.map(|(name, _)| name))?;
     if run.agents == 0 || run.runs == 0 || !(run.rate > 0.0 && run.rate <= 1e5) {
-        return Err("agents, runs, rate: expected at least 1, and a rate of 100,000 at most".into());
+        return Err(
+            "agents, runs, rate: expected at least 1, and a rate of 100,000 at most".into(),
+        );
     }
     let cells = kinds.len() * troubles.len() * judges.len();
     // Silent where nobody looks: the bar draws on terminals only.
@@ -216,12 +230,21 @@
                 bar.set_message(format!("{kind} / {trouble} / {name}"));
                 let one = |i: u64| {
                     let (agents, rate, seed) = (run.agents, run.rate, run.seed + i);
-                    let course = play(&Plan { kind, trouble, judge: *judge, agents, rate, seed });
+                    let course = play(&Plan {
+                        kind,
+                        trouble,
+                        judge: *judge,
+                        agents,
+                        rate,
+                        seed,
+                    });
                     bar.inc(1);
                     course
                 };
                 let courses: Vec<_> = (0..run.runs).into_par_iter().map(one).collect();
-                rows.push(table::Row::of(kind, trouble, name, run.agents, run.rate, &courses));
+                rows.push(table::Row::of(
+                    kind, trouble, name, run.agents, run.rate, &courses,
+                ));
             }
         }
     }
@@ -242,8 +265,12 @@
             Ok(())
         }
         Command::Levels(l) => levels(l),
-        Command::LevelsTable(t) => table::read(&t.file).map(|rows| print!("{}", load_table::text(&rows))),
-        Command::LevelsChart(c) => table::read(&c.file).and_then(|rows| load_table::chart(&rows, &c.out)),
+        Command::LevelsTable(t) => {
+            table::read(&t.file).map(|rows| print!("{}", load_table::text(&rows)))
+        }
+        Command::LevelsChart(c) => {
+            table::read(&c.file).and_then(|rows| load_table::chart(&rows, &c.out))
+        }
         Command::Chart(c) => table::read(&c.file).and_then(|rows| table::chart(&rows, &c.out)),
     };
     match result {
--- a/tools/rollout-simulation/src/release.rs
+++ b/tools/rollout-simulation/src/release.rs
@@ -141,9 +141,15 @@
         number(name.into(), value);
     }
     for (g, repeat) in REPEAT.iter().enumerate() {
-        named.insert(format!("classes.{g}.name"), Value::Text(format!("group-{g}")));
+        named.insert(
+            format!("classes.{g}.name"),
+            Value::Text(format!("group-{g}")),
+        );
         named.insert(format!("classes.{g}.repeat"), Value::Text((*repeat).into()));
-        named.insert(format!("classes.{g}.dedup_scope"), Value::Text("all".into()));
+        named.insert(
+            format!("classes.{g}.dedup_scope"),
+            Value::Text("all".into()),
+        );
     }
     named.insert("family_info.one_way".into(), Value::Flag(one_way));
     judge.terms(&mut named);
@@ -156,7 +162,12 @@
     let truth = Truth::draw(plan.kind, &mut chance);
     let trouble = Trouble::draw(plan.trouble, &mut chance);
     let fleet = Fleet::new(&mut chance);
-    let course = Course { good: truth.good(), back: None, released: None, lost: 0.0 };
+    let course = Course {
+        good: truth.good(),
+        back: None,
+        released: None,
+        lost: 0.0,
+    };
     let mut play = Play {
         plan,
         truth,
@@ -178,7 +189,11 @@
     };
     for i in 0..plan.agents {
         let balancer = play.agent(i);
-        play.agents.push(Agent { balancer, vote: None, seen: Seen::default() });
+        play.agents.push(Agent {
+            balancer,
+            vote: None,
+            seen: Seen::default(),
+        });
         let first = play.chance.gen_range(0.0..TICK);
         play.at(first, Event::Review(i));
     }
@@ -199,13 +214,20 @@
 
     fn at(&mut self, when: f64, event: Event) {
         self.count += 1;
-        self.events.push(Reverse(((when.max(0.0) * 1e6) as Time, self.count, event)));
+        self.events
+            .push(Reverse(((when.max(0.0) * 1e6) as Time, self.count, event)));
     }
 
     fn news(&self) -> Option<News> {
         let (cap, phase) = (STAGES[self.stage].0, self.phase?);
         let cap = if phase == Phase::GoingBack { 0.0 } else { cap };
-        Some(News { build: 2, stage: self.stage, phase, since: self.now - self.stage_began, cap })
+        Some(News {
+            build: 2,
+            stage: self.stage,
+            phase,
+            since: self.now - self.stage_began,
+            cap,
+        })
     }
 
     /// All agents are told, a little later.
@@ -233,7 +255,12 @@
                 Event::Arrive => self.arrive(),
                 Event::Review(i) => self.review(i),
                 Event::Resume(hit) => self.resume(hit),
-                Event::Done { node, hit, forward, errs } => self.done(node, hit, forward, errs),
+                Event::Done {
+                    node,
+                    hit,
+                    forward,
+                    errs,
+                } => self.done(node, hit, forward, errs),
                 Event::Timeout { hit, forward } => {
                     if self.hits[hit].out && self.hits[hit].forward == forward {
                         self.returned(hit, Ending::NoAnswer);
@@ -246,15 +273,23 @@
                         self.agents[i].balancer.heard(now, news);
                     }
                 }
-                Event::Complain { node, agent } => self.agents[agent].balancer.complained(self.now, node),
+                Event::Complain { node, agent } => {
+                    self.agents[agent].balancer.complained(self.now, node)
+                }
                 Event::Move => self.advance(),
             }
         }
     }
 
     fn ended(&self) -> bool {
-        let watched = self.course.released.is_some_and(|r| self.now > BEGINS + r + WATCHED);
-        let back = self.course.back.is_some_and(|b| self.now > BEGINS + b + 2.0);
+        let watched = self
+            .course
+            .released
+            .is_some_and(|r| self.now > BEGINS + r + WATCHED);
+        let back = self
+            .course
+            .back
+            .is_some_and(|b| self.now > BEGINS + b + 2.0);
         watched || back || self.now > BEGINS + MOST
     }
 
@@ -265,7 +300,11 @@
         }
         for i in 0..self.agents.len() {
             let balancer = self.agent(i);
-            self.agents[i] = Agent { balancer, vote: None, seen: Seen::default() };
+            self.agents[i] = Agent {
+                balancer,
+                vote: None,
+                seen: Seen::default(),
+            };
         }
     }
 
@@ -278,8 +317,11 @@
         let heavy = self.trouble == Trouble::HeavyKeys && self.chance.gen_bool(0.15);
         // Few keys are popular: the square of an even draw leans to the small ones.
         let even: f64 = self.chance.gen();
-        let key =
-            if heavy { self.chance.gen_range(0..4) } else { 4 + (even * even * (KEYS - 4) as f64) as usize };
+        let key = if heavy {
+            self.chance.gen_range(0..4)
+        } else {
+            4 + (even * even * (KEYS - 4) as f64) as usize
+        };
         let agent = self.chance.gen_range(0..self.agents.len());
         self.asked += BENEFIT[group];
         let arrival = Arrival {
@@ -292,8 +334,18 @@
         };
         let (handle, next) = self.agents[agent].balancer.take(self.now, arrival);
         let (taken, sent) = (self.now, self.now);
-        let hit =
-            Hit { agent, handle, group, key, taken, sent, forward: 0, node: 0, out: false, over: false };
+        let hit = Hit {
+            agent,
+            handle,
+            group,
+            key,
+            taken,
+            sent,
+            forward: 0,
+            node: 0,
+            out: false,
+            over: false,
+        };
         self.hits.push(hit);
         self.carry_out(self.hits.len() - 1, next);
     }
@@ -318,10 +370,18 @@
             self.returned(i, Ending::TurnedAway);
             return;
         }
-        let heavy = if self.trouble == Trouble::HeavyKeys && key < 4 { 2.5 } else { 1.0 };
+        let heavy = if self.trouble == Trouble::HeavyKeys && key < 4 {
+            2.5
+        } else {
+            1.0
+        };
         let spread = self.chance.gen_range(0.4..1.6);
         let work = WORK[group] * heavy * spread;
-        self.fleet.nodes[node].queue.push_back(Job { hit: i, forward, work });
+        self.fleet.nodes[node].queue.push_back(Job {
+            hit: i,
+            forward,
+            work,
+        });
         self.work(node);
     }
 
@@ -329,7 +389,9 @@
     fn work(&mut self, node: usize) {
         while self.fleet.nodes[node].has_room() {
             let n = &mut self.fleet.nodes[node];
-            let Some(job) = n.queue.pop_front() else { return };
+            let Some(job) = n.queue.pop_front() else {
+                return;
+            };
             n.busy += 1;
             let (trial, age, load) = (n.build == 2, self.now - n.up_since, n.load());
             let mut takes = job.work / n.power(self.now) * self.trouble.slows(self.now);
@@ -344,10 +406,13 @@
                     Truth::Errors(share) => fails = share,
                     Truth::Group(g, share) if g == group => fails = share,
                     Truth::Work(by) => takes *= by,
-                    Truth::Late(after, share) if age > after => (takes, fails) = (takes * 2.0, share),
+                    Truth::Late(after, share) if age > after => {
+                        (takes, fails) = (takes * 2.0, share)
+                    }
                     Truth::Busy(above, share) if load > above => fails = share,
                     Truth::Wrong(share) if self.chance.gen_bool(share / 3.0) => {
-                        let (agent, late) = (self.hits[job.hit].agent, self.chance.gen_range(0.5..4.0));
+                        let (agent, late) =
+                            (self.hits[job.hit].agent, self.chance.gen_range(0.5..4.0));
                         self.at(self.now + takes + late, Event::Complain { node, agent });
                     }
                     _ => {}
@@ -357,7 +422,15 @@
             let errs = self.chance.gen_bool(1.0 - (1.0 - shared) * (1.0 - fails));
             // An error comes sooner than an answer.
             let takes = takes * if errs { 0.5 } else { 1.0 };
-            self.at(self.now + takes, Event::Done { node, hit: job.hit, forward: job.forward, errs });
+            self.at(
+                self.now + takes,
+                Event::Done {
+                    node,
+                    hit: job.hit,
+                    forward: job.forward,
+                    errs,
+                },
+            );
         }
     }
 
@@ -365,7 +438,14 @@
         self.fleet.nodes[node].busy -= 1;
         self.work(node);
         if self.hits[i].out && self.hits[i].forward == forward {
-            self.returned(i, if errs { Ending::Errored } else { Ending::Delivered });
+            self.returned(
+                i,
+                if errs {
+                    Ending::Errored
+                } else {
+                    Ending::Delivered
+                },
+            );
         }
     }
 
@@ -382,12 +462,23 @@
             hit.over = true;
             let wrong = matches!(self.truth, Truth::Wrong(_)) && trial;
             let in_time = self.now - taken <= TARGET[group];
-            self.gained += if in_time && !wrong { BENEFIT[group] } else { 0.0 };
+            self.gained += if in_time && !wrong {
+                BENEFIT[group]
+            } else {
+                0.0
+            };
         }
-        if hit.forward == 1 && matches!(ending, Ending::Delivered | Ending::Errored) && self.phase.is_some() {
+        if hit.forward == 1
+            && matches!(ending, Ending::Delivered | Ending::Errored)
+            && self.phase.is_some()
+        {
             self.agents[agent].seen.add(trial, ending);
         }
-        let end = Return { ending, spent, over: false };
+        let end = Return {
+            ending,
+            spent,
+            over: false,
+        };
         let next = handle.returned(&mut self.agents[agent].balancer, self.now, end);
         self.carry_out(i, next);
     }
@@ -409,7 +500,8 @@
             agent.vote = Some((vote.verdict, vote.stage, self.now));
         }
         if !matches!(self.plan.judge, Judge::Earlier | Judge::Stated) {
-            let ripe = self.phase == Some(Phase::Trial) && self.now > self.stage_began + START + LEAST;
+            let ripe =
+                self.phase == Some(Phase::Trial) && self.now > self.stage_began + START + LEAST;
             agent.vote = Some((agent.seen.vote(self.plan.judge, ripe), self.stage, self.now));
         }
         self.tally();
@@ -429,7 +521,11 @@
             self.phase = Some(Phase::GoingBack);
             self.stage_began = self.now;
             self.course.back = Some(self.now - BEGINS);
-            self.fleet.nodes.iter_mut().filter(|n| n.build == 1).for_each(|n| n.open = true);
+            self.fleet
+                .nodes
+                .iter_mut()
+                .filter(|n| n.build == 1)
+                .for_each(|n| n.open = true);
             self.tell();
         } else if self.phase == Some(Phase::Trial) {
             let least = self.now >= self.stage_began + LEAST;
@@ -447,7 +543,11 @@
             Some(Phase::Trial) => {
                 self.phase = Some(Phase::Released);
                 self.course.released = Some(self.now - BEGINS);
-                self.fleet.nodes.iter_mut().filter(|n| n.build == 1).for_each(|n| n.open = false);
+                self.fleet
+                    .nodes
+                    .iter_mut()
+                    .filter(|n| n.build == 1)
+                    .for_each(|n| n.open = false);
             }
             _ => return,
         }
@@ -457,7 +557,9 @@
             let starts = self.now + START + self.chance.gen_range(0.0..0.5);
             self.fleet.start(2, starts, &mut self.chance);
         }
-        self.agents.iter_mut().for_each(|a| a.seen = Seen::default());
+        self.agents
+            .iter_mut()
+            .for_each(|a| a.seen = Seen::default());
         self.tell();
         // Once its nodes are up the list says so.
         for i in 0..self.agents.len() {
@@ -471,7 +573,14 @@
     use super::*;
 
     fn plan<'a>(kind: &'a str, trouble: &'a str, judge: Judge, seed: u64) -> Plan<'a> {
-        Plan { kind, trouble, judge, agents: 1, rate: 340.0, seed }
+        Plan {
+            kind,
+            trouble,
+            judge,
+            agents: 1,
+            rate: 340.0,
+            seed,
+        }
     }
 
     #[test]
@@ -482,7 +591,9 @@
 
     #[test]
     fn the_clock_releases_all_and_stated_rates_tell_good_from_bad() {
-        assert!(play(&plan("errors", "calm", Judge::Clock, 1)).released.is_some());
+        assert!(play(&plan("errors", "calm", Judge::Clock, 1))
+            .released
+            .is_some());
         let bad = play(&plan("errors", "calm", Judge::Stated, 1));
         assert!(bad.back.is_some() && bad.released.is_none(), "{bad:?}");
         let good = play(&plan("good", "calm", Judge::Stated, 1));
--- a/tools/rollout-simulation/src/table.rs
+++ b/tools/rollout-simulation/src/table.rs
@@ -38,7 +38,14 @@
 }
 
 impl Row {
-    pub fn of(kind: &str, trouble: &str, judge: &str, agents: usize, rate: f64, all: &[Course]) -> Row {
+    pub fn of(
+        kind: &str,
+        trouble: &str,
+        judge: &str,
+        agents: usize,
+        rate: f64,
+        all: &[Course],
+    ) -> Row {
         let count = |f: &dyn Fn(&Course) -> bool| all.iter().filter(|c| f(c)).count();
         let back = count(&|c| c.back.is_some());
         let carried = count(&|c| c.released.is_some() && c.back.is_none());
@@ -77,7 +84,9 @@
 /// Writes rows as CSV, to standard output where no file is named.
 pub fn write<T: Serialize>(rows: &[T], out: Option<&Path>) -> Result<(), String> {
     let sink: Box<dyn std::io::Write> = match out {
-        Some(path) => Box::new(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?),
+        Some(path) => {
+            Box::new(std::fs::File::create(path).map_err(|e| format!("{}: {e}", path.display()))?)
+        }
         None => Box::new(std::io::stdout()),
     };
     let mut csv = csv::Writer::from_writer(sink);
@@ -89,7 +98,9 @@
 
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<Vec<T>, String> {
     let mut csv = csv::Reader::from_path(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    csv.deserialize().collect::<Result<_, _>>().map_err(|e| format!("{}: {e}", path.display()))
+    csv.deserialize()
+        .collect::<Result<_, _>>()
+        .map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// A table for people.
@@ -145,23 +156,47 @@
         .x_label_area_size(30)
         .build_cartesian_2d(0.0..100.0 * most, 0.0..rows.len() as f64)
         .map_err(|e| told(&e))?;
-    let mesh = chart.configure_mesh().disable_y_mesh().disable_y_axis().x_desc("per cent").draw();
+    let mesh = chart
+        .configure_mesh()
+        .disable_y_mesh()
+        .disable_y_axis()
+        .x_desc("per cent")
+        .draw();
     mesh.map_err(|e| told(&e))?;
     for (i, r) in rows.iter().enumerate() {
         let y = rows.len() as f64 - i as f64 - 0.5;
         let (wrong, low, high) = r.wrong();
-        let colour = if r.judge == "stated" { BLUE } else { RGBColor(150, 150, 150) };
+        let colour = if r.judge == "stated" {
+            BLUE
+        } else {
+            RGBColor(150, 150, 150)
+        };
         let stated = if r.kind == "good" { 1.0 } else { 5.0 };
         let at = 100.0 * wrong as f64 / r.runs.max(1) as f64;
         let mut draw = |points: Vec<(f64, f64)>, style: ShapeStyle| {
-            chart.draw_series([PathElement::new(points, style)]).map(|_| ()).map_err(|e| told(&e))
+            chart
+                .draw_series([PathElement::new(points, style)])
+                .map(|_| ())
+                .map_err(|e| told(&e))
         };
-        draw(vec![(stated, y - 0.5), (stated, y + 0.5)], RED.stroke_width(1))?;
-        draw(vec![(100.0 * low, y), (100.0 * high, y)], colour.stroke_width(2))?;
-        chart.draw_series([Circle::new((at, y), 3, colour.filled())]).map_err(|e| told(&e))?;
+        draw(
+            vec![(stated, y - 0.5), (stated, y + 0.5)],
+            RED.stroke_width(1),
+        )?;
+        draw(
+            vec![(100.0 * low, y), (100.0 * high, y)],
+            colour.stroke_width(2),
+        )?;
+        chart
+            .draw_series([Circle::new((at, y), 3, colour.filled())])
+            .map_err(|e| told(&e))?;
         let label = format!("{} / {} / {}", r.kind, r.trouble, r.judge);
-        let place = (10, (height as f64 - 45.0 - y * (height as f64 - 60.0) / rows.len() as f64) as i32 - 4);
-        area.draw(&Text::new(label, place, ("sans-serif", 12))).map_err(|e| told(&e))?;
+        let place = (
+            10,
+            (height as f64 - 45.0 - y * (height as f64 - 60.0) / rows.len() as f64) as i32 - 4,
+        );
+        area.draw(&Text::new(label, place, ("sans-serif", 12)))
+            .map_err(|e| told(&e))?;
     }
     area.present().map_err(|e| told(&e))
 }
--- a/tools/rollout-simulation/src/world.rs
+++ b/tools/rollout-simulation/src/world.rs
@@ -51,7 +51,15 @@
     SlowsAll(f64),
 }
 
-pub const BAD: [&str; 7] = ["errors", "group", "work", "late", "busy", "wrong", "slows all"];
+pub const BAD: [&str; 7] = [
+    "errors",
+    "group",
+    "work",
+    "late",
+    "busy",
+    "wrong",
+    "slows all",
+];
 
 impl Truth {
     pub fn draw(kind: &str, chance: &mut ChaCha8Rng) -> Truth {
@@ -113,16 +121,22 @@
         // The release begins at 15 s; the first stages take some ten seconds.
         let from = chance.gen_range(14.0..28.0);
         match kind {
-            "slowdown" => {
-                Trouble::Slowdown(chance.gen_range(1.4..2.9), from, from + chance.gen_range(3.0..15.0))
-            }
+            "slowdown" => Trouble::Slowdown(
+                chance.gen_range(1.4..2.9),
+                from,
+                from + chance.gen_range(3.0..15.0),
+            ),
             "shared errors" => Trouble::SharedErrors(0.2, from, from + chance.gen_range(3.0..10.0)),
             "heavy keys" => Trouble::HeavyKeys,
             "failing keys" => Trouble::FailingKeys,
             "sick trial node" => Trouble::Sick(Fleet::SIZE + chance.gen_range(1..Fleet::SIZE), 0.4),
             "sick first node" => Trouble::Sick(Fleet::SIZE, 0.4),
             "sick earlier node" => Trouble::Sick(0, 0.4),
-            "burst" => Trouble::Burst(chance.gen_range(1.5..2.0), from, from + chance.gen_range(2.0..10.0)),
+            "burst" => Trouble::Burst(
+                chance.gen_range(1.5..2.0),
+                from,
+                from + chance.gen_range(2.0..10.0),
+            ),
             "restarts" => Trouble::Restarts(chance.gen_range(18.0..28.0)),
             "base 1%" => Trouble::Base(0.01),
             "base 5%" => Trouble::Base(0.05),
@@ -189,7 +203,12 @@
     /// Its power now, by its age.
     pub fn power(&self, now: f64) -> f64 {
         let warm = COLD_SHARE + (1.0 - COLD_SHARE) * (now - self.up_since) / COLD;
-        self.speed * if self.up_since <= 0.0 { 1.0 } else { warm.clamp(COLD_SHARE, 1.0) }
+        self.speed
+            * if self.up_since <= 0.0 {
+                1.0
+            } else {
+                warm.clamp(COLD_SHARE, 1.0)
+            }
     }
 }
 
@@ -222,14 +241,28 @@
     }
     /// An agent's decisions, just started and told the list; without news the earlier build is long released.
     pub fn agent(&self, seed: u64, now: f64, named: Named, news: Option<News>) -> Balancer {
-        let mut balancer = Balancer::start(seed, now, None, named).expect("the rig's settings are whole");
+        let mut balancer =
+            Balancer::start(seed, now, None, named).expect("the rig's settings are whole");
         balancer.listed(now, true, true, &self.list(now));
-        let released = News { build: 1, stage: 3, phase: Phase::Released, since: 100.0, cap: 1.0 };
+        let released = News {
+            build: 1,
+            stage: 3,
+            phase: Phase::Released,
+            since: 100.0,
+            cap: 1.0,
+        };
         balancer.heard(now, news.unwrap_or(released));
         balancer
     }
     pub fn start(&mut self, build: u32, up_since: f64, chance: &mut ChaCha8Rng) {
         let speed = chance.gen_range(0.9..1.1);
-        self.nodes.push(Node { build, up_since, speed, open: true, busy: 0, queue: VecDeque::new() });
+        self.nodes.push(Node {
+            build,
+            up_since,
+            speed,
+            open: true,
+            busy: 0,
+            queue: VecDeque::new(),
+        });
     }
 }
--- a/tools/scale-test/src/texts.rs
+++ b/tools/scale-test/src/texts.rs
@@ -14,20 +14,30 @@
 }
 
 fn word(chance: &mut ChaCha8Rng, letters: usize) -> String {
-    (0..letters).map(|_| char::from(b"abcdefghijklmnopqrstuvwxyz234567"[chance.gen_range(0..32)])).collect()
+    (0..letters)
+        .map(|_| char::from(b"abcdefghijklmnopqrstuvwxyz234567"[chance.gen_range(0..32)]))
+        .collect()
 }
 
 impl Texts {
     pub fn new(services: usize) -> Texts {
         let mut chance = ChaCha8Rng::seed_from_u64(0);
-        Texts { services: (0..services).map(|i| format!("{}{i}", word(&mut chance, 5))).collect() }
+        Texts {
+            services: (0..services)
+                .map(|i| format!("{}{i}", word(&mut chance, 5)))
+                .collect(),
+        }
     }
 
     pub fn routes(&self, seed: u64, count: usize) -> Vec<String> {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let route = |_| {
             let (name, prefix) = (word(&mut chance, 7), word(&mut chance, 9));
-            let sort = if chance.gen_bool(0.6) { "safe" } else { "unsafe" };
+            let sort = if chance.gen_bool(0.6) {
+                "safe"
+            } else {
+                "unsafe"
+            };
             let service = &self.services[chance.gen_range(0..self.services.len())];
             let (target, give_up) = (chance.gen_range(4..12) * 100, chance.gen_range(3..8) * 500);
             let precedence = chance.gen_range(0..3);
@@ -44,9 +54,16 @@
         let wickets: Vec<String> = routes
             .chunks(ROUTES_OF_HOST)
             .enumerate()
-            .map(|(i, some)| format!("{{\"depot\":\"h{i}.example\",\"regulations\":[{}]}}", some.join(",")))
+            .map(|(i, some)| {
+                format!(
+                    "{{\"depot\":\"h{i}.example\",\"regulations\":[{}]}}",
+                    some.join(",")
+                )
+            })
             .collect();
-        let fleet = |s: &String| format!("{{\"name\":\"{s}\",\"health_path\":\"/health\",\"conn_cap\":130}}");
+        let fleet = |s: &String| {
+            format!("{{\"name\":\"{s}\",\"health_path\":\"/health\",\"conn_cap\":130}}")
+        };
         let fleets: Vec<String> = self.services.iter().map(fleet).collect();
         let (wickets, fleets) = (wickets.join(","), fleets.join(","));
         format!("{{\"edition\":{number},\"wickets\":[{wickets}],\"fleets\":[{fleets}]}}")
@@ -56,8 +73,10 @@
     pub fn list(&self, count: usize) -> Vec<(Arc<str>, Option<Entry>)> {
         let mut chance = ChaCha8Rng::seed_from_u64(9);
         let names: Vec<Arc<str>> = self.services.iter().map(|s| s.as_str().into()).collect();
-        let (zones, version): (Vec<Arc<str>>, Arc<str>) =
-            ((0..11).map(|z| format!("zone-{z}").into()).collect(), "v1".into());
+        let (zones, version): (Vec<Arc<str>>, Arc<str>) = (
+            (0..11).map(|z| format!("zone-{z}").into()).collect(),
+            "v1".into(),
+        );
         let entry = |i: usize| Entry {
             service: names[i % names.len()].clone(),
             address: SocketAddrV4::new([10, (i >> 16) as u8, (i >> 8) as u8, i as u8].into(), 8080),
@@ -67,6 +86,13 @@
             state: State::Ready,
             cold: 0,
         };
-        (0..count).map(|i| (format!("i-{:08x}", chance.gen::<u32>()).into(), Some(entry(i)))).collect()
+        (0..count)
+            .map(|i| {
+                (
+                    format!("i-{:08x}", chance.gen::<u32>()).into(),
+                    Some(entry(i)),
+                )
+            })
+            .collect()
     }
 }
--- a/tools/scenarios/src/lib.rs
+++ b/tools/scenarios/src/lib.rs
@@ -23,7 +23,10 @@
     /// Not TOML; the reader's words.
     Unreadable { what: &'static str, why: String },
     /// A field has another type than it should.
-    Odd { place: String, expected: &'static str },
+    Odd {
+        place: String,
+        expected: &'static str,
+    },
     /// A shape names what no rule of this page knows.
     Unknown { place: String },
     /// A shape changes machines of a class that the deployment has not.
@@ -36,7 +39,10 @@
             Misfit::Unreadable { what, why } => write!(out, "{what}: {why}"),
             Misfit::Odd { place, expected } => write!(out, "{place}: expected {expected}"),
             Misfit::Unknown { place } => {
-                write!(out, "{place}: expected one of name, set, regions, machines, troubles")
+                write!(
+                    out,
+                    "{place}: expected one of name, set, regions, machines, troubles"
+                )
             }
             Misfit::NoSuchClass { class } => {
                 write!(out, "machines: the deployment has none of class '{class}'")
@@ -48,7 +54,12 @@
 /// Gives the shape to the deployment. Both are TOML texts; so is what comes back. `home` is the folder of the deployment's
 /// file: other files that it names beside itself are then named by their path. `days` are TOML texts, each with `[[day]]`
 /// entries or the fields of one; if there are any, they are the deployment's days, and no others.
-pub fn train(deployment: &str, shape: &str, home: &Path, days: &[String]) -> Result<String, Misfit> {
+pub fn train(
+    deployment: &str,
+    shape: &str,
+    home: &Path,
+    days: &[String],
+) -> Result<String, Misfit> {
     let mut deployment = read("deployment", deployment)?;
     let shape = read("shape", shape)?;
     if !days.is_empty() {
@@ -75,9 +86,8 @@
                     machines(&mut deployment, table("machines", change)?)?;
                 }
             }
-            "troubles" => {
-                entries(&mut deployment, "troubles")?.extend(list("troubles", &value)?.iter().cloned())
-            }
+            "troubles" => entries(&mut deployment, "troubles")?
+                .extend(list("troubles", &value)?.iter().cloned()),
             _ => return Err(Misfit::Unknown { place: key }),
         }
     }
@@ -85,11 +95,18 @@
 }
 
 fn read(what: &'static str, text: &str) -> Result<Table, Misfit> {
-    text.parse().map_err(|why: toml::de::Error| Misfit::Unreadable { what, why: why.message().to_owned() })
+    text.parse()
+        .map_err(|why: toml::de::Error| Misfit::Unreadable {
+            what,
+            why: why.message().to_owned(),
+        })
 }
 
 fn odd(place: &str, expected: &'static str) -> Misfit {
-    Misfit::Odd { place: place.to_owned(), expected }
+    Misfit::Odd {
+        place: place.to_owned(),
+        expected,
+    }
 }
 
 fn table<'a>(place: &str, value: &'a Value) -> Result<&'a Table, Misfit> {
@@ -97,7 +114,10 @@
 }
 
 fn list<'a>(place: &str, value: &'a Value) -> Result<&'a [Value], Misfit> {
-    value.as_array().map(Vec::as_slice).ok_or_else(|| odd(place, "a list"))
+    value
+        .as_array()
+        .map(Vec::as_slice)
+        .ok_or_else(|| odd(place, "a list"))
 }
 
 fn entries<'a>(deployment: &'a mut Table, place: &str) -> Result<&'a mut Vec<Value>, Misfit> {
@@ -138,37 +158,57 @@
         return Err(odd("regions", "a list of names"));
     }
     for (place, zone) in entries(deployment, "zones")?.iter_mut().enumerate() {
-        let zone = zone.as_table_mut().ok_or_else(|| odd("zones", "tables in the deployment"))?;
+        let zone = zone
+            .as_table_mut()
+            .ok_or_else(|| odd("zones", "tables in the deployment"))?;
         zone.extend(nth(names, place).map(|name| ("region".to_owned(), name.clone())));
     }
     Ok(())
 }
 
 fn machines(deployment: &mut Table, change: &Table) -> Result<(), Misfit> {
-    let class = change.get("class").and_then(Value::as_str).ok_or_else(|| odd("machines.class", "a text"))?;
-    let zones: Vec<Value> =
-        entries(deployment, "zones")?.iter().filter_map(|zone| zone.get("name")).cloned().collect();
+    let class = change
+        .get("class")
+        .and_then(Value::as_str)
+        .ok_or_else(|| odd("machines.class", "a text"))?;
+    let zones: Vec<Value> = entries(deployment, "zones")?
+        .iter()
+        .filter_map(|zone| zone.get("name"))
+        .cloned()
+        .collect();
     let mut met = false;
     for entry in entries(deployment, "machines")? {
-        let entry = entry.as_table_mut().ok_or_else(|| odd("machines", "tables in the deployment"))?;
+        let entry = entry
+            .as_table_mut()
+            .ok_or_else(|| odd("machines", "tables in the deployment"))?;
         if entry.get("class").and_then(Value::as_str) != Some(class) {
             continue;
         }
         met = true;
-        let place = zones.iter().position(|zone| entry.get("zone") == Some(zone)).unwrap_or(0);
+        let place = zones
+            .iter()
+            .position(|zone| entry.get("zone") == Some(zone))
+            .unwrap_or(0);
         for (key, value) in change {
             match key.as_str() {
                 "class" => {}
                 "count" | "spare" => {
                     let counts = list(&format!("machines.{key}"), value)?;
                     let count = nth(counts, place).filter(|count| count.is_integer());
-                    let count = count.ok_or_else(|| odd(&format!("machines.{key}"), "whole numbers"))?;
+                    let count =
+                        count.ok_or_else(|| odd(&format!("machines.{key}"), "whole numbers"))?;
                     entry.insert(key.clone(), count.clone());
                 }
                 "set" => merge(entry, table("machines.set", value)?),
-                _ => return Err(Misfit::Unknown { place: format!("machines.{key}") }),
+                _ => {
+                    return Err(Misfit::Unknown {
+                        place: format!("machines.{key}"),
+                    })
+                }
             }
         }
     }
-    met.then_some(()).ok_or_else(|| Misfit::NoSuchClass { class: class.to_owned() })
+    met.then_some(()).ok_or_else(|| Misfit::NoSuchClass {
+        class: class.to_owned(),
+    })
 }
--- a/tools/scenarios/src/main.rs
+++ b/tools/scenarios/src/main.rs
@@ -12,9 +12,17 @@
     help: bool,
     #[options(free, required, help = "the bench's site file")]
     site: PathBuf,
-    #[options(free, required, help = "a shape, such as tools/scenarios/days/sites/five-seats.toml")]
+    #[options(
+        free,
+        required,
+        help = "a shape, such as tools/scenarios/days/sites/five-seats.toml"
+    )]
     shape: PathBuf,
-    #[options(free, required, help = "where the new site file goes, such as target/sites/five-seats.toml")]
+    #[options(
+        free,
+        required,
+        help = "where the new site file goes, such as target/sites/five-seats.toml"
+    )]
     to: PathBuf,
     #[options(
         free,
@@ -35,10 +43,17 @@
 }
 
 fn write(line: &Line) -> Result<(), String> {
-    let read = |path: &Path| fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()));
+    let read =
+        |path: &Path| fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()));
     let home = line.site.parent().unwrap_or(Path::new("."));
-    let home = home.canonicalize().map_err(|why| format!("{}: {why}", home.display()))?;
-    let days = line.days.iter().map(|day| read(day)).collect::<Result<Vec<_>, _>>()?;
+    let home = home
+        .canonicalize()
+        .map_err(|why| format!("{}: {why}", home.display()))?;
+    let days = line
+        .days
+        .iter()
+        .map(|day| read(day))
+        .collect::<Result<Vec<_>, _>>()?;
     let text = train(&read(&line.site)?, &read(&line.shape)?, &home, &days)
         .map_err(|why| format!("{} on {}: {why}", line.shape.display(), line.site.display()))?;
     if let Some(folder) = line.to.parent() {
--- a/tools/scenarios/tests/shapes.rs
+++ b/tools/scenarios/tests/shapes.rs
@@ -21,13 +21,19 @@
 "#;
 
 fn given(shape: &str) -> Table {
-    train(DEPLOYMENT, shape, Path::new("/fields"), &[]).expect("fits").parse().expect("TOML")
+    train(DEPLOYMENT, shape, Path::new("/fields"), &[])
+        .expect("fits")
+        .parse()
+        .expect("TOML")
 }
 
 /// Values at a path of every entry of a list.
 fn each(deployment: &Table, list: &str, path: &[&str]) -> Vec<Value> {
     let entries = deployment[list].as_array().expect("a list");
-    entries.iter().map(|entry| path.iter().fold(entry, |value, key| &value[*key]).clone()).collect()
+    entries
+        .iter()
+        .map(|entry| path.iter().fold(entry, |value, key| &value[*key]).clone())
+        .collect()
 }
 
 fn whole(numbers: &[i64]) -> Vec<Value> {
@@ -37,7 +43,10 @@
 #[test]
 fn an_empty_shape_changes_only_where_other_files_are() {
     let mut expected: Table = DEPLOYMENT.parse().expect("TOML");
-    expected.insert("wire".to_owned(), Value::String("/fields/words.json".to_owned()));
+    expected.insert(
+        "wire".to_owned(),
+        Value::String("/fields/words.json".to_owned()),
+    );
     assert_eq!(given(""), expected);
 }
 
@@ -53,8 +62,10 @@
 #[test]
 fn regions_go_by_the_order_of_zones_and_the_last_goes_on() {
     let deployment = given("regions = ['near', 'far']");
-    let regions: Vec<Value> =
-        ["near", "far", "far"].iter().map(|name| Value::String((*name).to_owned())).collect();
+    let regions: Vec<Value> = ["near", "far", "far"]
+        .iter()
+        .map(|name| Value::String((*name).to_owned()))
+        .collect();
     assert_eq!(each(&deployment, "zones", &["region"]), regions);
 }
 
@@ -64,23 +75,53 @@
         given("machines = [{ class = 'barn', count = [7, 2, 3], spare = [5], set = { disk = { mb = 9 } } }]");
     assert_eq!(each(&deployment, "machines", &["count"]), whole(&[3, 2, 3]));
     assert_eq!(each(&deployment, "machines", &["spare"]), whole(&[0, 5, 5]));
-    assert_eq!(each(&deployment, "machines", &["disk", "mb"]), whole(&[4, 9, 9]));
-    assert_eq!(each(&deployment, "machines", &["disk", "sync_ms"]), whole(&[2, 2, 2]));
+    assert_eq!(
+        each(&deployment, "machines", &["disk", "mb"]),
+        whole(&[4, 9, 9])
+    );
+    assert_eq!(
+        each(&deployment, "machines", &["disk", "sync_ms"]),
+        whole(&[2, 2, 2])
+    );
 }
 
 #[test]
 fn troubles_are_added() {
-    let kinds = each(&given("troubles = [{ kind = 'frost' }]"), "troubles", &["kind"]);
-    assert_eq!(kinds, vec![Value::String("hail".to_owned()), Value::String("frost".to_owned())]);
+    let kinds = each(
+        &given("troubles = [{ kind = 'frost' }]"),
+        "troubles",
+        &["kind"],
+    );
+    assert_eq!(
+        kinds,
+        vec![
+            Value::String("hail".to_owned()),
+            Value::String("frost".to_owned())
+        ]
+    );
 }
 
 #[test]
 fn days_take_the_place_of_the_deployment_s() {
-    let days = ["[[day]]\nname = 'frost'".to_owned(), "name = 'drought'".to_owned()];
-    let text =
-        train(&format!("{DEPLOYMENT}\n[[day]]\nname = 'calm'"), "", Path::new("/fields"), &days).expect("fits");
+    let days = [
+        "[[day]]\nname = 'frost'".to_owned(),
+        "name = 'drought'".to_owned(),
+    ];
+    let text = train(
+        &format!("{DEPLOYMENT}\n[[day]]\nname = 'calm'"),
+        "",
+        Path::new("/fields"),
+        &days,
+    )
+    .expect("fits");
     let names = each(&text.parse().expect("TOML"), "day", &["name"]);
-    assert_eq!(names, vec![Value::String("frost".to_owned()), Value::String("drought".to_owned())]);
+    assert_eq!(
+        names,
+        vec![
+            Value::String("frost".to_owned()),
+            Value::String("drought".to_owned())
+        ]
+    );
 }
 
 #[rstest]
@@ -91,7 +132,10 @@
 #[case::no_table("set = 3", Misfit::Odd { place: "set".to_owned(), expected: "a table" })]
 #[case::no_names("regions = [1]", Misfit::Odd { place: "regions".to_owned(), expected: "a list of names" })]
 fn what_cannot_be_given_is_named(#[case] shape: &str, #[case] expected: Misfit) {
-    assert_eq!(train(DEPLOYMENT, shape, Path::new("/fields"), &[]), Err(expected));
+    assert_eq!(
+        train(DEPLOYMENT, shape, Path::new("/fields"), &[]),
+        Err(expected)
+    );
 }
 
 /// Every shape that the repository keeps can be read.
@@ -119,10 +163,19 @@
             continue;
         }
         let text = std::fs::read_to_string(&path).expect("readable");
-        let days: Table = text.parse().unwrap_or_else(|why| panic!("{}: {why}", path.display()));
-        let names =
-            if days.contains_key("day") { each(&days, "day", &["name"]) } else { vec![days["name"].clone()] };
-        let stem = path.file_stem().expect("a name").to_string_lossy().into_owned();
+        let days: Table = text
+            .parse()
+            .unwrap_or_else(|why| panic!("{}: {why}", path.display()));
+        let names = if days.contains_key("day") {
+            each(&days, "day", &["name"])
+        } else {
+            vec![days["name"].clone()]
+        };
+        let stem = path
+            .file_stem()
+            .expect("a name")
+            .to_string_lossy()
+            .into_owned();
         assert_eq!(names, vec![Value::String(stem)], "{}", path.display());
     }
 }
