--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -116,7 +116,7 @@
     pub node: String,
     pub zone: String,
     /// Differs between starts.
-    pub life: u64,
+    pub incarnation: u64,
     /// The edition that it holds whole; 0: none.
     pub edition: u64,
     /// The highest term that a leader has spoken to it in; 0: none in this life.
--- a/crates/control-plane/src/proxy_registry.rs
+++ b/crates/control-plane/src/proxy_registry.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counter {
     pub zone: String,
-    pub life: u64,
+    pub incarnation: u64,
     pub edition: u64,
     pub heard_at: Micros,
     /// The link that it holds, if any.
@@ -115,7 +115,7 @@
             return false;
         }
         let counter = self.counters.entry(hello.node.clone()).or_default();
-        if counter.life != hello.life {
+        if counter.incarnation != hello.incarnation {
             let evidence = std::mem::take(&mut counter.evidence);
             self.past.extend(evidence.into_values());
             self.past
@@ -123,7 +123,7 @@
         }
         *counter = Counter {
             zone: hello.zone.clone(),
-            life: hello.life,
+            incarnation: hello.incarnation,
             edition: hello.edition,
             heard_at: now,
             link: Some(link),
--- a/crates/control-plane/tests/proxy_registry.rs
+++ b/crates/control-plane/tests/proxy_registry.rs
@@ -6,11 +6,11 @@
 
 const TERM: u64 = 3;
 
-fn hello(node: &str, life: u64) -> Hello {
+fn hello(node: &str, incarnation: u64) -> Hello {
     Hello {
         node: node.into(),
         zone: "z".into(),
-        life,
+        incarnation,
         ..Hello::default()
     }
 }
--- a/crates/gateway/src/commands/store.rs
+++ b/crates/gateway/src/commands/store.rs
@@ -5,8 +5,8 @@
 use jzon::JsonValue as Json;
 use magpieline_config::durations;
 use magpieline_control_plane::state_machine::{Command, Records};
-use magpieline_raft::{Entry, Payload, Seat, Stored};
-use magpieline_raft_store::{inspect, is_in_use, Error, Inspection};
+use magpieline_raft::{Entry, NodeId, Payload, PersistentState};
+use magpieline_raft_store::{inspect, is_in_use, Inspection, StoreError};
 use std::path::Path;
 use std::time::Duration;
 
@@ -73,37 +73,42 @@
     End::Failed
 }
 
-fn read(dir: &Path, in_use: bool) -> Result<Option<Inspection>, Error> {
+fn read(dir: &Path, in_use: bool) -> Result<Option<Inspection>, StoreError> {
     for _ in 1..TRIES {
         match inspect(dir) {
-            Err(Error::Corrupt(_)) if in_use => std::thread::sleep(APART),
+            Err(StoreError::Corrupt(_)) if in_use => std::thread::sleep(APART),
             done => return done,
         }
     }
     inspect(dir)
 }
 
-fn told(error: Error, in_use: bool) -> String {
+fn told(error: StoreError, in_use: bool) -> String {
     match error {
-        Error::Corrupt(flaw) if in_use => {
-            let (place, key) = (flaw.place, flaw.key);
+        StoreError::Corrupt(corruption) if in_use => {
+            let (place, key) = (corruption.location, corruption.key);
             format!(
                 "{place} {key}: found what does not add up while the store is in use, expected a moment \
                 without a write: try again, or stop the machine's process first"
             )
         }
-        Error::Corrupt(flaw) => {
-            let (place, key, found, expected) = (flaw.place, flaw.key, flaw.found, flaw.expected);
+        StoreError::Corrupt(corruption) => {
+            let (place, key, found, expected) = (
+                corruption.location,
+                corruption.key,
+                corruption.found,
+                corruption.expected,
+            );
             format!(
                 "the store is corrupt: {place} {key}: found {found}, expected {expected}. The machine sets it \
                 aside when it starts and joins as an empty one; see `a sorting machine lost its disk` in \
                 docs/gateway/operators.md"
             )
         }
-        Error::Newer { .. } => format!("a newer release wrote the store: {error}"),
-        Error::InUse => "the store is in use".into(),
-        Error::Full => "the disk has no room".into(),
-        Error::Io(kind) => format!("can't be read: {kind}"),
+        StoreError::NewerFormat { .. } => format!("a newer release wrote the store: {error}"),
+        StoreError::InUse => "the store is in use".into(),
+        StoreError::DiskFull => "the disk has no room".into(),
+        StoreError::Io(kind) => format!("can't be read: {kind}"),
     }
 }
 
@@ -158,8 +163,8 @@
         let mut command = None;
         let (kind, about) = match &entry.payload {
             Payload::Noop => ("noop", "a new leader's first".into()),
-            Payload::Members(members) => ("members", seats(&members.voters)),
-            Payload::JointEnd => ("joint-end", "the list before counts no more".into()),
+            Payload::Voters(members) => ("members", seats(&members.voters)),
+            Payload::LeaveJoint => ("joint-end", "the list before counts no more".into()),
             Payload::Command { more: true, bytes } => {
                 pieces.extend_from_slice(bytes);
                 ("piece", format!("{} bytes", bytes.len()))
@@ -187,16 +192,16 @@
     list
 }
 
-fn seats(seats: &[Seat]) -> String {
+fn seats(seats: &[NodeId]) -> String {
     let shown: Vec<String> = seats
         .iter()
-        .map(|s| format!("{} (life {})", s.address, s.life))
+        .map(|s| format!("{} (life {})", s.address, s.incarnation))
         .collect();
     listed(&shown)
 }
 
 /// What was agreed on, carried out again: from the snapshot, through the log up to `to`.
-fn replay(stored: &Stored, places: &[Place], to: u64) -> Records {
+fn replay(stored: &PersistentState, places: &[Place], to: u64) -> Records {
     let (mut records, mut at) = (Records::default(), 0);
     if let Some(snapshot) = &stored.snapshot {
         (records, at) = (
@@ -231,7 +236,11 @@
         let places = places(&stored.entries);
         let covered = stored.snapshot.as_ref().map_or(0, |s| s.index);
         let last = places.last().map_or(covered, |p| p.index);
-        let certain = stored.hard.map_or(0, |h| h.commit).max(covered).min(last);
+        let certain = stored
+            .hard_state
+            .map_or(0, |h| h.commit)
+            .max(covered)
+            .min(last);
         let in_force = replay(stored, &places, certain);
         let beyond = Some(replay(stored, &places, last)).filter(|all| *all != in_force);
         Contents {
@@ -269,7 +278,7 @@
             self.found.file_bytes,
             if self.in_use { ", in use" } else { "" }
         );
-        let Some(hard) = stored.hard else {
+        let Some(hard) = stored.hard_state else {
             text.push_str("  empty: this machine has never taken part\n");
             return text;
         };
@@ -299,7 +308,7 @@
             &[
                 ("term", hard.term.to_string()),
                 ("vote", hard.vote.map_or("none".into(), |v| seats(&[v]))),
-                ("life", hard.life.to_string()),
+                ("life", hard.incarnation.to_string()),
                 ("voters", seats(&self.voters())),
                 ("log", log),
                 ("entries", listed(&kinds)),
@@ -341,14 +350,14 @@
     }
 
     /// Who votes by the newest list stored.
-    fn voters(&self) -> Vec<Seat> {
+    fn voters(&self) -> Vec<NodeId> {
         let stored = &self.found.stored;
         let listed = stored.entries.iter().rev().find_map(|e| match &e.payload {
-            Payload::Members(members) => Some(members.voters.clone()),
+            Payload::Voters(members) => Some(members.voters.clone()),
             _ => None,
         });
         listed
-            .or(stored.snapshot.as_ref().map(|s| s.members.voters.clone()))
+            .or(stored.snapshot.as_ref().map(|s| s.voters.voters.clone()))
             .unwrap_or_default()
     }
 
@@ -358,11 +367,12 @@
         self.kinds()
             .into_iter()
             .for_each(|(kind, count)| drop(kinds.insert(kind, count)));
-        let seat = |s: &Seat| jzon::object! { address: s.address.to_string(), life: s.life };
+        let seat =
+            |s: &NodeId| jzon::object! { address: s.address.to_string(), life: s.incarnation };
         let mut shown = jzon::object! {
-            store: dir, bytes: self.found.file_bytes, in_use: self.in_use, empty: stored.hard.is_none(),
-            term: stored.hard.map(|h| h.term), life: stored.hard.map(|h| h.life),
-            vote: stored.hard.and_then(|h| h.vote).map_or(Json::Null, |v| seat(&v)),
+            store: dir, bytes: self.found.file_bytes, in_use: self.in_use, empty: stored.hard_state.is_none(),
+            term: stored.hard_state.map(|h| h.term), life: stored.hard_state.map(|h| h.incarnation),
+            vote: stored.hard_state.and_then(|h| h.vote).map_or(Json::Null, |v| seat(&v)),
             voters: self.voters().iter().map(seat).collect::<Vec<_>>(),
             log: jzon::object! { first: self.places.first().map(|p| p.index),
                 last: self.places.last().map(|p| p.index), certain: self.certain, kinds: kinds },
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -22,7 +22,7 @@
 use magpieline_control_plane::messages::{self, Down, Listing, Stage};
 use magpieline_control_plane::proxy_registry::Roster;
 use magpieline_control_plane::state_machine::{Command, Effect, Records};
-use magpieline_raft::Seat;
+use magpieline_raft::NodeId;
 use raft_driver::Council;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -124,10 +124,10 @@
     /// This machine's view of things, for operators.
     pub fn shown(&self) -> Json {
         let view = self.council.view();
-        let seats = |seats: &[Seat]| -> Vec<Json> {
+        let seats = |seats: &[NodeId]| -> Vec<Json> {
             seats
                 .iter()
-                .map(|s| jzon::object! { address: s.address.to_string(), life: s.life })
+                .map(|s| jzon::object! { address: s.address.to_string(), life: s.incarnation })
                 .collect()
         };
         let at = now();
@@ -154,8 +154,8 @@
             .contacts
             .iter()
             .map(|c| {
-                jzon::object! { address: c.seat.address.to_string(), matched: c.matched,
-                votes: c.votes, heard_ms_ago: at.saturating_sub(c.heard_at) / 1000 }
+                jzon::object! { address: c.id.address.to_string(), matched: c.match_index,
+                votes: c.is_voter, heard_ms_ago: at.saturating_sub(c.heard_at) / 1000 }
             })
             .collect();
         jzon::object! {
@@ -164,7 +164,7 @@
             leads: self.council.leads(),
             term: view.term,
             leader: view.leader.map(|l| l.to_string()),
-            own: jzon::object! { address: view.me.address.to_string(), life: view.me.life },
+            own: jzon::object! { address: view.me.address.to_string(), life: view.me.incarnation },
             voters: seats(&view.voters),
             learners: seats(&view.learners),
             contacts: contacts,
--- a/crates/gateway/src/controller/raft_driver.rs
+++ b/crates/gateway/src/controller/raft_driver.rs
@@ -10,9 +10,10 @@
 use magpieline_control_plane::messages::{self, Opening};
 use magpieline_control_plane::state_machine::{Command, Effect, Records};
 use magpieline_raft::{
-    Action, Batch, Contact, Core, Envelope, Event, Outcome, Role, Seat, Start, MAX_VOTERS,
+    Action, Config, Envelope, Event, NodeId, Outcome, PeerStatus, RaftNode, Role, WriteBatch,
+    MAX_VOTERS,
 };
-use magpieline_raft_store::{self as granary, Granary, Remedy};
+use magpieline_raft_store::{self as granary, Remedy, Store};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -47,17 +48,17 @@
 /// How this machine stands in the agreement.
 #[derive(Clone, Debug)]
 pub struct View {
-    pub me: Seat,
+    pub me: NodeId,
     pub role: Role,
     pub term: u64,
     pub leader: Option<SocketAddrV4>,
-    pub voters: Vec<Seat>,
-    pub learners: Vec<Seat>,
+    pub voters: Vec<NodeId>,
+    pub learners: Vec<NodeId>,
     pub commit: u64,
     pub applied: u64,
     pub durable: u64,
     pub disk_troubled: bool,
-    pub contacts: Vec<Contact>,
+    pub contacts: Vec<PeerStatus>,
     /// It was told to leave, and is needed no more.
     pub left: bool,
     /// It leads, and nobody else can before this time.
@@ -72,14 +73,14 @@
     /// Nobody is left who asks.
     Over,
     /// The store does not add up any more.
-    Store(granary::Error),
+    Store(granary::StoreError),
     /// What is in force at this place of the log can't be read here. To go on without it would be to go on as another
     /// state machine than the others.
     Unreadable(u64, Unreadable),
 }
 
 enum Asked {
-    Broken(granary::Error),
+    Broken(granary::StoreError),
     Event(Event),
     Propose(Vec<u8>, oneshot::Sender<Told>),
     Read(oneshot::Sender<Told>),
@@ -98,10 +99,10 @@
 
 /// What drives the agreement; becomes a task.
 pub struct Driver {
-    core: Core,
+    core: RaftNode,
     first: Vec<Action>,
     asked: mpsc::Receiver<Asked>,
-    write: threads::Sender<(u64, Batch)>,
+    write: threads::Sender<(u64, WriteBatch)>,
 }
 
 impl Council {
@@ -110,11 +111,12 @@
         machine: &Machine,
         store: &Path,
         seed: u64,
-    ) -> Result<(Council, Driver), granary::Error> {
-        let mut granary = Granary::open(store)?;
+    ) -> Result<(Council, Driver), granary::StoreError> {
+        let mut granary = Store::open(store)?;
         let stored = granary.load()?;
         // A machine whose store was set aside has been here before, even if its settings are those of its first start.
-        let first_run = machine.first_run && !granary::is_aside(&granary::Folder::at(store))?;
+        let first_run =
+            machine.first_run && !granary::is_quarantined(&granary::DiskDirectory::at(store))?;
         let inner = machine.inner_ports.0;
         let me = SocketAddrV4::new(machine.ip, inner);
         let seeds = machine
@@ -126,7 +128,7 @@
             target: "council",
             "Store read: {} entries{}.",
             stored.entries.len(),
-            if stored.hard.is_none() { ", empty" } else { "" }
+            if stored.hard_state.is_none() { ", empty" } else { "" }
         );
         // How many stand in a zone isn't known here: then as many vote as can.
         let withstand = if machine.withstand_areas > 0 {
@@ -135,26 +137,26 @@
             machine.withstand as usize
         };
         let catch_up = machine.terms.catch_up;
-        let start = Start {
-            me,
+        let start = Config {
+            address: me,
             seeds,
             first_run,
             seed,
-            withstand,
-            catch_up,
+            tolerated_failures: withstand,
+            recovery_interval: catch_up,
         };
-        let (core, first) = Core::start(now(), start, stored);
+        let (core, first) = RaftNode::start(now(), start, stored);
         let (ask, asked) = mpsc::channel(MOST_WAITING);
-        let (write, writes) = threads::channel::<(u64, Batch)>();
+        let (write, writes) = threads::channel::<(u64, WriteBatch)>();
         let synced = ask.clone();
         // The disk may hang for seconds: it has a thread of its own.
         std::thread::spawn(move || {
             while let Ok((serial, batch)) = writes.recv() {
                 let event = match granary.write(&batch) {
-                    Ok(()) => Asked::Event(Event::Synced { serial }),
-                    Err(e) if e.remedy() == Remedy::Wait => {
+                    Ok(()) => Asked::Event(Event::Persisted { serial }),
+                    Err(e) if e.remedy() == Remedy::Retry => {
                         tracing::warn!(target: "council", "The disk refused a write: {e}.");
-                        Asked::Event(Event::Refused { serial })
+                        Asked::Event(Event::WriteFailed { serial })
                     }
                     Err(e) => Asked::Broken(e),
                 };
@@ -278,7 +280,7 @@
     match outcome {
         Outcome::Committed { .. } => Ok(()),
         Outcome::NotLeader { .. } | Outcome::Overloaded => Err(Refusal::NotNow),
-        Outcome::Lost => Err(Refusal::Unknown),
+        Outcome::LeadershipLost => Err(Refusal::Unknown),
     }
 }
 
@@ -288,25 +290,25 @@
         (self.role == Role::Leader).then_some(self.term)
     }
 
-    fn of(core: &Core) -> View {
+    fn of(core: &RaftNode) -> View {
         let now = now();
         let leader = core
             .leader()
-            .filter(|_| core.knows_leader(now, LEADER_KNOWN));
+            .filter(|_| core.has_recent_leader(now, LEADER_KNOWN));
         View {
-            me: core.me(),
+            me: core.id(),
             role: core.role(),
             term: core.term(),
             leader,
             voters: core.voters().to_vec(),
             learners: core.learners(),
-            commit: core.commit(),
-            applied: core.applied(),
-            durable: core.durable(),
-            disk_troubled: core.is_disk_troubled(),
-            contacts: core.contacts(),
+            commit: core.commit_index(),
+            applied: core.applied_index(),
+            durable: core.durable_index(),
+            disk_troubled: core.is_disk_degraded(),
+            contacts: core.peers(),
             left: core.has_left(),
-            lease: core.lease(),
+            lease: core.lease_expires_at(),
             leaderless_since: leader.is_none().then_some(now),
         }
     }
@@ -333,7 +335,7 @@
                         let to = envelope.to.address;
                         let link = links.entry(to).or_insert_with(|| {
                             let (link, messages) = mpsc::channel(MOST_OUT);
-                            tokio::spawn(send(self.core.me().address, to, messages));
+                            tokio::spawn(send(self.core.id().address, to, messages));
                             link
                         });
                         let _ = link.try_send(envelope);
@@ -352,8 +354,11 @@
                             sorting.restored(records);
                         }
                     }
-                    Action::Done { ticket, outcome } => {
-                        if let Some(tell) = tickets.remove(&ticket) {
+                    Action::Complete {
+                        request_id,
+                        outcome,
+                    } => {
+                        if let Some(tell) = tickets.remove(&request_id) {
                             let effect = match outcome {
                                 Outcome::Committed { index } => effects.get(&index).cloned(),
                                 _ => None,
@@ -365,9 +370,9 @@
             }
             self.show(&sorting);
             let wake = self.core.next_wake();
-            let event = if self.core.wants_compact() {
+            let event = if self.core.should_compact() {
                 Event::Compact {
-                    index: self.core.applied(),
+                    index: self.core.applied_index(),
                     state: sorting.state().records.pack(),
                 }
             } else {
@@ -379,12 +384,12 @@
                         Some(Asked::Propose(command, tell)) => {
                             next_ticket += 1;
                             tickets.insert(next_ticket, tell);
-                            Event::Propose { ticket: next_ticket, command }
+                            Event::Propose { request_id: next_ticket, command }
                         }
                         Some(Asked::Read(tell)) => {
                             next_ticket += 1;
                             tickets.insert(next_ticket, tell);
-                            Event::Read { ticket: next_ticket }
+                            Event::Read { request_id: next_ticket }
                         }
                     },
                     () = clock::until(wake) => Event::Tick,
@@ -439,7 +444,7 @@
                     Records::unpack(state).map_err(|wrong| Stop::Unreadable(*index, wrong));
                 Some(records.map(Read::Records))
             }
-            Action::Send(_) | Action::Write { .. } | Action::Done { .. } => None,
+            Action::Send(_) | Action::Write { .. } | Action::Complete { .. } => None,
         };
         actions.iter().filter_map(read).collect()
     }
--- a/crates/gateway/src/controller/store_recovery.rs
+++ b/crates/gateway/src/controller/store_recovery.rs
@@ -6,7 +6,7 @@
 use crate::clock::{now, span, Micros};
 use crate::{signals, view};
 use magpieline_config::node_settings::Machine;
-use magpieline_raft_store::{set_aside, Error, Folder, Remedy};
+use magpieline_raft_store::{quarantine, DiskDirectory, Remedy, StoreError};
 use std::net::SocketAddrV4;
 use std::path::Path;
 
@@ -32,8 +32,8 @@
         match stop {
             Stop::Over => Next::Leave,
             Stop::Store(error) => match error.remedy() {
-                Remedy::SetAside => Next::SetAside,
-                Remedy::Halt | Remedy::Wait => Next::Halt,
+                Remedy::Quarantine => Next::SetAside,
+                Remedy::Halt | Remedy::Retry => Next::Halt,
             },
             Stop::Unreadable(_, wrong) if wrong.newer => Next::Halt,
             Stop::Unreadable(index, _) => Next::SetAsideOnceApplied(*index),
@@ -54,8 +54,8 @@
             told = Some(error);
         }
         match error.remedy() {
-            Remedy::SetAside if put_aside(store).is_ok() => continue,
-            Remedy::SetAside | Remedy::Wait => {}
+            Remedy::Quarantine if put_aside(store).is_ok() => continue,
+            Remedy::Quarantine | Remedy::Retry => {}
             Remedy::Halt => {
                 signals::terminated().await;
                 return None;
@@ -69,8 +69,8 @@
 }
 
 /// What can't be read is out of the way when this returns well, whatever becomes of the power.
-fn put_aside(store: &Path) -> Result<(), Error> {
-    let done = set_aside(&Folder::at(store));
+fn put_aside(store: &Path) -> Result<(), StoreError> {
+    let done = quarantine(&DiskDirectory::at(store));
     match done {
         Ok(()) => {
             tracing::error!(target: "store", "Set aside; this machine joins as an empty one.")
--- a/crates/gateway/src/proxy/controller_session.rs
+++ b/crates/gateway/src/proxy/controller_session.rs
@@ -58,11 +58,11 @@
                 }
                 Action::Hello => {
                     let (node, zone) = (counter.machine.node.clone(), counter.machine.zone.clone());
-                    let (life, edition) = (counter.life, counter.edition_number());
+                    let (incarnation, edition) = (counter.life, counter.edition_number());
                     Up::Hello(Hello {
                         node,
                         zone,
-                        life,
+                        incarnation,
                         edition,
                         term: tendril.term(),
                         at: now(),
--- a/crates/gateway/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -334,7 +334,7 @@
         let hello = Hello {
             node: "counter-1".into(),
             zone: "a".into(),
-            life: 5,
+            incarnation: 5,
             ..Hello::default()
         };
         link.stream
--- a/crates/gateway/tests/golden_frames.rs
+++ b/crates/gateway/tests/golden_frames.rs
@@ -6,7 +6,7 @@
     State, Totals, Up, Vote,
 };
 use magpieline_control_plane::state_machine::{Phase, Rollout, Standing};
-use magpieline_raft::{Entry, Envelope, Members, Message, Payload, Seat};
+use magpieline_raft::{Entry, Envelope, Message, NodeId, Payload, VoterSet};
 use serde::{Deserialize, Serialize};
 use std::fmt::Debug;
 use std::fmt::Write;
@@ -18,10 +18,10 @@
     SocketAddrV4::new([10, 1, 0, last].into(), 7720)
 }
 
-fn seat(last: u8, life: u64) -> Seat {
-    Seat {
+fn seat(last: u8, incarnation: u64) -> NodeId {
+    NodeId {
         address: address(last),
-        life,
+        incarnation,
     }
 }
 
@@ -116,7 +116,7 @@
 }
 
 fn raft_messages() -> Vec<(&'static str, Message)> {
-    let members = Members {
+    let members = VoterSet {
         voters: vec![seat(16, 0), seat(17, 5)],
     };
     let bytes = b"command".to_vec();
@@ -126,8 +126,8 @@
             more: true,
             bytes: bytes.clone(),
         },
-        Payload::Members(members.clone()),
-        Payload::JointEnd,
+        Payload::Voters(members.clone()),
+        Payload::LeaveJoint,
     ];
     let entries = payloads.into_iter().zip(9..).map(|(payload, index)| Entry {
         index,
@@ -137,40 +137,40 @@
     vec![
         (
             "pre-vote",
-            Message::PreVote {
-                last: 9,
+            Message::PreVoteRequest {
+                last_index: 9,
                 last_term: 3,
             },
         ),
         (
             "pre-vote-reply",
-            Message::PreVoteReply {
+            Message::PreVoteResponse {
                 next_term: 4,
                 granted: true,
             },
         ),
         (
             "pre-vote-if-all",
-            Message::PreVoteIfAll {
+            Message::PreVoteIfAllRestarted {
                 next_term: 4,
-                start: 77,
+                boot_id: 77,
             },
         ),
         (
             "vote",
-            Message::Vote {
-                last: 9,
+            Message::VoteRequest {
+                last_index: 9,
                 last_term: 3,
-                handed_over: true,
-                restarted: Some(77),
+                leadership_transfer: true,
+                all_restarted: Some(77),
             },
         ),
-        ("vote-reply", Message::VoteReply { granted: true }),
+        ("vote-reply", Message::VoteResponse { granted: true }),
         (
             "append",
-            Message::Append {
-                round: 5,
-                prev: 8,
+            Message::AppendEntries {
+                heartbeat: 5,
+                prev_index: 8,
                 prev_term: 2,
                 commit: 7,
                 entries: entries.collect(),
@@ -178,48 +178,48 @@
         ),
         (
             "append-reply",
-            Message::AppendReply {
-                round: 5,
-                matched: 8,
-                missing: Some(6),
+            Message::AppendResponse {
+                heartbeat: 5,
+                match_index: 8,
+                reject_hint: Some(6),
             },
         ),
         (
             "fill",
-            Message::Fill {
+            Message::InstallSnapshot {
                 index: 9,
                 snapshot_term: 3,
-                members,
-                total: 700,
+                voters: members,
+                total_bytes: 700,
                 offset: 300,
                 bytes,
             },
         ),
         (
             "fill-reply",
-            Message::FillReply {
+            Message::InstallSnapshotResponse {
                 index: 9,
-                have: 307,
+                received: 307,
                 gap: true,
             },
         ),
-        ("hand-over", Message::HandOver),
-        ("ask", Message::Ask { last: 9 }),
+        ("hand-over", Message::TimeoutNow),
+        ("ask", Message::JoinRequest { last_index: 9 }),
         (
             "point",
-            Message::Point {
+            Message::LeaderHint {
                 leader: Some(address(16)),
                 members: vec![address(16), address(17)],
             },
         ),
         (
             "leave",
-            Message::Leave {
+            Message::LeaveRequest {
                 token: 99,
                 waiting: Some(vec![seat(18, 6)]),
             },
         ),
-        ("left", Message::Left { token: 99 }),
+        ("left", Message::LeaveResponse { token: 99 }),
     ]
 }
 
@@ -234,7 +234,7 @@
     let hello = Hello {
         node: "c-1".into(),
         zone: "a".into(),
-        life: 4,
+        incarnation: 4,
         edition: 3,
         term: 2,
         at: 1_000,
--- a/crates/gateway/tests/kept_store.rs
+++ b/crates/gateway/tests/kept_store.rs
@@ -4,8 +4,10 @@
 //! first, then the bytes).
 
 use magpieline_control_plane::state_machine::{Command, Kept, Phase, Records};
-use magpieline_raft::{Batch, Entry, Hard, Members, Payload, Seat, Snapshot, Stored};
-use magpieline_raft_store::{inspect, Granary};
+use magpieline_raft::{
+    Entry, HardState, NodeId, Payload, PersistentState, Snapshot, VoterSet, WriteBatch,
+};
+use magpieline_raft_store::{inspect, Store};
 use std::path::PathBuf;
 use std::sync::Arc;
 
@@ -32,10 +34,10 @@
     }
 }
 
-fn seat(last: u8, life: u64) -> Seat {
-    Seat {
+fn seat(last: u8, incarnation: u64) -> NodeId {
+    NodeId {
         address: std::net::SocketAddrV4::new([10, 1, 0, last].into(), 7720),
-        life,
+        incarnation,
     }
 }
 
@@ -112,17 +114,17 @@
 }
 
 /// What the store holds. Commands are compared as read, as their bytes belong to their release.
-fn hard() -> Hard {
-    Hard {
-        life: 77,
+fn hard_state() -> HardState {
+    HardState {
+        incarnation: 77,
         term: 4,
         vote: Some(seat(17, 5)),
         commit: 11,
     }
 }
 
-fn members() -> Members {
-    Members {
+fn voters() -> VoterSet {
+    VoterSet {
         voters: vec![seat(16, 0), seat(17, 5), seat(18, 0)],
     }
 }
@@ -136,7 +138,7 @@
     let snapshot = Snapshot {
         index: covered,
         term: 3,
-        members: members(),
+        voters: voters(),
         state: state(COVERED).pack(),
     };
     let command = |more, bytes: &[u8]| Payload::Command {
@@ -147,7 +149,7 @@
     let (head, rest) = later[2].split_at(100);
     let rows = [
         (3, command(false, &commands()[COVERED - 1].pack())),
-        (3, Payload::Members(members())),
+        (3, Payload::Voters(voters())),
         (4, command(false, &later[0])),
         (4, command(false, &later[1])),
         (4, Payload::Noop),
@@ -163,12 +165,12 @@
             payload,
         })
         .collect();
-    let mut granary = Granary::open(&folder.0).expect("a store");
-    let batch = Batch {
-        hard: hard(),
+    let mut granary = Store::open(&folder.0).expect("a store");
+    let batch = WriteBatch {
+        hard_state: hard_state(),
         snapshot: Some(Arc::new(snapshot)),
-        drop_to: 0,
-        cut_from: covered,
+        compact_to: 0,
+        truncate_from: covered,
         entries,
     };
     granary.write(&batch).expect("written");
@@ -223,16 +225,16 @@
     std::fs::write(folder.0.join("store.redb"), whole(packed)).expect("written");
 }
 
-fn check(stored: &Stored) {
-    assert_eq!(stored.hard, Some(hard()));
+fn check(stored: &PersistentState) {
+    assert_eq!(stored.hard_state, Some(hard_state()));
     let snapshot = stored.snapshot.as_ref().expect("one");
     assert_eq!(
-        (snapshot.index, snapshot.term, &snapshot.members),
-        (8, 3, &members())
+        (snapshot.index, snapshot.term, &snapshot.voters),
+        (8, 3, &voters())
     );
     let mut records = Records::unpack(&snapshot.state).expect("read");
     assert_eq!(records, as_the_first_release_knew(state(COVERED)));
-    assert!(matches!(&stored.entries[1].payload, Payload::Members(list) if *list == members()));
+    assert!(matches!(&stored.entries[1].payload, Payload::Voters(list) if *list == voters()));
     let mut pieces = Vec::new();
     let mut read = Vec::new();
     for entry in &stored.entries {
@@ -272,7 +274,7 @@
     let folder = Folder::new("read");
     put(&folder, FORMAT_1);
     check(&inspect(&folder.0).expect("readable").expect("there").stored);
-    let mut granary = Granary::open(&folder.0).expect("opened");
+    let mut granary = Store::open(&folder.0).expect("opened");
     let stored = granary.load().expect("readable");
     check(&stored);
     // What this release adds goes beside it, and all is read again.
@@ -281,24 +283,24 @@
         term: 5,
         payload: Payload::Noop,
     };
-    let hard = Hard {
+    let hard_state = HardState {
         term: 5,
         vote: None,
-        ..hard()
+        ..hard_state()
     };
-    let batch = Batch {
-        hard,
+    let batch = WriteBatch {
+        hard_state,
         snapshot: None,
-        drop_to: 0,
-        cut_from: 15,
+        compact_to: 0,
+        truncate_from: 15,
         entries: vec![entry.clone()],
     };
     granary.write(&batch).expect("written");
     drop(granary);
-    let again = Granary::open(&folder.0)
+    let again = Store::open(&folder.0)
         .and_then(|mut granary| granary.load())
         .expect("readable");
-    assert_eq!(again.hard, Some(hard));
+    assert_eq!(again.hard_state, Some(hard_state));
     assert_eq!(
         (&again.entries[..7], &again.entries[7]),
         (&stored.entries[..], &entry)
@@ -336,8 +338,8 @@
     };
     let payloads = [
         Payload::Noop,
-        Payload::Members(members()),
-        Payload::JointEnd,
+        Payload::Voters(voters()),
+        Payload::LeaveJoint,
         command,
     ];
     payloads
@@ -351,9 +353,9 @@
         .collect()
 }
 
-fn hard_2(last: u64) -> Hard {
-    Hard {
-        life: 78,
+fn hard_2(last: u64) -> HardState {
+    HardState {
+        incarnation: 78,
         term: 5,
         vote: None,
         commit: last + 3,
@@ -369,16 +371,16 @@
     let snapshot = Snapshot {
         index: last,
         term: 4,
-        members: members(),
+        voters: voters(),
         state: state_2().pack(),
     };
-    let mut granary = Granary::open(&folder.0).expect("a store");
+    let mut granary = Store::open(&folder.0).expect("a store");
     let (snapshot, entries) = (Some(Arc::new(snapshot)), entries_2(last));
-    let batch = Batch {
-        hard: hard_2(last),
+    let batch = WriteBatch {
+        hard_state: hard_2(last),
         snapshot,
-        drop_to: 0,
-        cut_from: last,
+        compact_to: 0,
+        truncate_from: last,
         entries,
     };
     granary.write(&batch).expect("written");
@@ -394,15 +396,15 @@
 fn a_store_of_the_second_form_is_read() {
     let folder = Folder::new("read-2");
     put(&folder, FORMAT_2);
-    let stored = Granary::open(&folder.0)
+    let stored = Store::open(&folder.0)
         .and_then(|mut granary| granary.load())
         .expect("readable");
     let last = FIRST + commands_2().len() as u64 - 1;
-    assert_eq!(stored.hard, Some(hard_2(last)));
+    assert_eq!(stored.hard_state, Some(hard_2(last)));
     let snapshot = stored.snapshot.as_ref().expect("one");
     assert_eq!(
-        (snapshot.index, snapshot.term, &snapshot.members),
-        (last, 4, &members())
+        (snapshot.index, snapshot.term, &snapshot.voters),
+        (last, 4, &voters())
     );
     assert_eq!(Records::unpack(&snapshot.state), Ok(state_2()));
     assert_eq!(snapshot.state, state_2().pack(), "written as before");
--- a/crates/gateway/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -1,8 +1,8 @@
 //! `magpieline-gateway store` on stores that the test has written.
 
 use magpieline_control_plane::state_machine::{Command, Kept, Phase, Records};
-use magpieline_raft::{Batch, Entry, Hard, Members, Payload, Seat, Snapshot};
-use magpieline_raft_store::Granary;
+use magpieline_raft::{Entry, HardState, NodeId, Payload, Snapshot, VoterSet, WriteBatch};
+use magpieline_raft_store::Store;
 use std::path::{Path, PathBuf};
 use std::process::Command as Process;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
 
 /// A store with a snapshot at 3, a command in two pieces, one that another leader cut off, and one that may not be in
 /// force yet.
-fn fill(dir: &Path) -> Granary {
+fn fill(dir: &Path) -> Store {
     let mut records = Records::default();
     records.apply(2, &kept(4));
     records.apply(
@@ -61,15 +61,15 @@
             version: "v1".into(),
         },
     );
-    let seat = Seat {
+    let seat = NodeId {
         address: "10.1.0.16:7720".parse().expect("an address"),
-        life: 0,
+        incarnation: 0,
     };
-    let members = Members { voters: vec![seat] };
+    let members = VoterSet { voters: vec![seat] };
     let snapshot = Snapshot {
         index: 3,
         term: 1,
-        members,
+        voters: members,
         state: records.pack(),
     };
     let command = |more, bytes: &[u8]| Payload::Command {
@@ -107,18 +107,18 @@
             payload,
         })
         .collect();
-    let hard = Hard {
-        life: 77,
+    let hard_state = HardState {
+        incarnation: 77,
         term: 2,
         vote: Some(seat),
         commit: 8,
     };
-    let mut granary = Granary::open(dir).expect("a store");
-    let batch = Batch {
-        hard,
+    let mut granary = Store::open(dir).expect("a store");
+    let batch = WriteBatch {
+        hard_state,
         snapshot: Some(Arc::new(snapshot)),
-        drop_to: 3,
-        cut_from: 4,
+        compact_to: 3,
+        truncate_from: 4,
         entries,
     };
     granary.write(&batch).expect("written");
--- a/crates/gateway/tests/store_recovery.rs
+++ b/crates/gateway/tests/store_recovery.rs
@@ -3,19 +3,19 @@
 use magpieline_control_plane::state_machine::{Command, Records};
 use magpieline_gateway::controller::raft_driver::{Read, Stop};
 use magpieline_gateway::controller::store_recovery::Next;
-use magpieline_raft::{Action, Envelope, Message, Seat};
-use magpieline_raft_store::{Error, Flaw};
+use magpieline_raft::{Action, Envelope, Message, NodeId};
+use magpieline_raft_store::{Corruption, StoreError};
 
 fn send() -> Action {
-    let seat = |last| Seat {
+    let seat = |last| NodeId {
         address: std::net::SocketAddrV4::new([10, 0, 0, last].into(), 7720),
-        life: 0,
+        incarnation: 0,
     };
     Action::Send(Envelope {
         from: seat(1),
         to: seat(2),
         term: 3,
-        message: Message::HandOver,
+        message: Message::TimeoutNow,
     })
 }
 
@@ -95,20 +95,20 @@
     assert!(matches!(&stop, Stop::Unreadable(4, wrong) if wrong.newer));
     assert_eq!(Next::after(&stop), Next::Halt);
     assert_eq!(
-        Next::after(&Stop::Store(Error::Newer {
+        Next::after(&Stop::Store(StoreError::NewerFormat {
             found: 3,
             expected: 2
         })),
         Next::Halt
     );
-    let flaw = Flaw {
-        place: "log",
+    let flaw = Corruption {
+        location: "log",
         key: 4,
         found: "another checksum",
         expected: "the value's",
     };
     assert_eq!(
-        Next::after(&Stop::Store(Error::Corrupt(flaw))),
+        Next::after(&Stop::Store(StoreError::Corrupt(flaw))),
         Next::SetAside
     );
     assert_eq!(Next::after(&Stop::Over), Next::Leave);
--- a/crates/raft-store/src/directory.rs
+++ b/crates/raft-store/src/directory.rs
@@ -1,48 +1,75 @@
-//! The folder that the store lies in: names, and when they last.
+//! The directory that the store lies in: names, and when they are durable.
 //!
-//! A name that is made, changed or removed lasts only once its folder is synced; until then a loss of power may keep or
-//! lose each change by itself. So a store is whole and synced before it gets its name, and nothing is told to others
-//! before the folder is synced.
+//! A name that is created, changed or removed is durable only once its directory is synced; until then a loss of power may
+//! keep or lose each change by itself. So a store is complete and synced before it gets its name, and nothing is acknowledged
+//! before the directory is synced.
 
-use crate::{builder, opened, Error};
+use crate::database::{builder, open_database};
+use crate::error::StoreError;
 use redb::{Database, DatabaseError};
 use std::fs::{self, File};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The store.
-pub const FILE: &str = "store.redb";
+/// The store's file.
+pub const STORE_FILE: &str = "store.redb";
 /// A store that could not be read, kept for whoever wants to know why. The newest one only: a disk has room for few.
-pub const ASIDE: &str = "store.aside";
-/// A new store is made under this name and renamed once it is whole: a half-made one is never taken for a store.
+pub const QUARANTINE_FILE: &str = "store.aside";
+/// A new store is created under this name and renamed once it is complete: a partial one is never taken for a store.
 const NEW_FILE: &str = "store.new";
 
 /// Files by name.
-pub trait Shelf {
-    fn has(&self, name: &str) -> io::Result<bool>;
+pub trait Directory {
+    /// Whether there is a file of this name.
+    ///
+    /// # Errors
+    ///
+    /// If the directory can't be read.
+    fn contains(&self, name: &str) -> io::Result<bool>;
+    /// Opens a database.
+    ///
+    /// # Errors
+    ///
+    /// If it can't be opened.
     fn open(&self, name: &str) -> Result<Database, DatabaseError>;
-    /// An empty store, its bytes on disk; its name may not be.
-    fn create(&self, name: &str) -> Result<(), Error>;
-    /// In place of what `to` was.
+    /// Creates an empty store, with its bytes on disk; its name may not be.
+    ///
+    /// # Errors
+    ///
+    /// If the disk refuses.
+    fn create(&self, name: &str) -> Result<(), StoreError>;
+    /// Renames a file, in place of what `to` was.
+    ///
+    /// # Errors
+    ///
+    /// If the disk refuses.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Nothing happens if it isn't there.
+    /// Removes a file; nothing happens if it isn't there.
+    ///
+    /// # Errors
+    ///
+    /// If the disk refuses.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// All names last as they are now.
+    /// Makes all names durable as they are now.
+    ///
+    /// # Errors
+    ///
+    /// If the disk refuses.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A folder of the machine.
-pub struct Folder(PathBuf);
+/// A directory of the machine.
+pub struct DiskDirectory(PathBuf);
 
-impl Folder {
-    /// The folder has to be there.
-    pub fn at(dir: &Path) -> Folder {
-        Folder(dir.to_owned())
+impl DiskDirectory {
+    /// The directory has to exist.
+    pub fn at(path: &Path) -> DiskDirectory {
+        DiskDirectory(path.to_owned())
     }
 }
 
-impl Shelf for Folder {
-    fn has(&self, name: &str) -> io::Result<bool> {
+impl Directory for DiskDirectory {
+    fn contains(&self, name: &str) -> io::Result<bool> {
         self.0.join(name).try_exists()
     }
 
@@ -50,9 +77,9 @@
         builder().open(self.0.join(name))
     }
 
-    fn create(&self, name: &str) -> Result<(), Error> {
+    fn create(&self, name: &str) -> Result<(), StoreError> {
         let path = self.0.join(name);
-        drop(opened(|| builder().create(&path))?);
+        drop(open_database(|| builder().create(&path))?);
         Ok(File::open(&path)?.sync_all()?)
     }
 
@@ -72,25 +99,34 @@
     }
 }
 
-/// Makes an empty store; its name lasts when this returns.
-pub(crate) fn create(shelf: &impl Shelf) -> Result<(), Error> {
-    shelf.remove(NEW_FILE)?;
-    shelf.create(NEW_FILE)?;
-    shelf.rename(NEW_FILE, FILE)?;
-    Ok(shelf.sync()?)
+/// Creates an empty store; its name is durable when this returns.
+pub(crate) fn create_store(directory: &impl Directory) -> Result<(), StoreError> {
+    directory.remove(NEW_FILE)?;
+    directory.create(NEW_FILE)?;
+    directory.rename(NEW_FILE, STORE_FILE)?;
+    Ok(directory.sync()?)
 }
 
-/// Puts the store out of the way, under the name of [`ASIDE`]: the explicit decision to go on as a machine that has lost
-/// its disk. When this returns the store can't come back by a loss of power, so that its votes and promises, which the
-/// machine is about to forget, are not made a second time.
-pub fn set_aside(shelf: &impl Shelf) -> Result<(), Error> {
-    if shelf.has(FILE)? {
-        shelf.rename(FILE, ASIDE)?;
+/// Moves the store out of the way, to [`QUARANTINE_FILE`]: the explicit decision to go on as a node that has lost its disk.
+///
+/// When this returns, no loss of power brings the store back, so that its votes and promises, which the node is about to
+/// forget, are not made a second time.
+///
+/// # Errors
+///
+/// If the disk refuses; the store may be at either name then.
+pub fn quarantine(directory: &impl Directory) -> Result<(), StoreError> {
+    if directory.contains(STORE_FILE)? {
+        directory.rename(STORE_FILE, QUARANTINE_FILE)?;
     }
-    Ok(shelf.sync()?)
+    Ok(directory.sync()?)
 }
 
-/// Whether a store was set aside here: this folder is not the first of its machine, whatever the settings say.
-pub fn is_aside(shelf: &impl Shelf) -> Result<bool, Error> {
-    Ok(shelf.has(ASIDE)?)
+/// Whether a store was quarantined here: then this is not the first start of the node, whatever its settings say.
+///
+/// # Errors
+///
+/// If the directory can't be read.
+pub fn is_quarantined(directory: &impl Directory) -> Result<bool, StoreError> {
+    Ok(directory.contains(QUARANTINE_FILE)?)
 }
--- a/crates/raft-store/tests/directory.rs
+++ b/crates/raft-store/tests/directory.rs
@@ -1,96 +1,98 @@
-//! The store in a real folder.
+//! The store in a real directory.
 
-use magpieline_raft::{Batch, Hard, Stored};
-use magpieline_raft_store::{inspect, is_aside, set_aside, Error, Folder, Granary, ASIDE};
+use magpieline_raft::{HardState, PersistentState, WriteBatch};
+use magpieline_raft_store::{
+    inspect, is_quarantined, quarantine, DiskDirectory, Store, StoreError, QUARANTINE_FILE,
+};
 use redb::{Database, TableDefinition};
 use std::fs;
 use std::path::PathBuf;
 
-/// A folder of its own that goes with the test.
-struct Own(PathBuf);
+/// A directory of its own for each test, removed at its end.
+struct TestDirectory(PathBuf);
 
-impl Own {
-    fn new(name: &str) -> Own {
-        let path = std::env::temp_dir().join(format!("granary-{name}-{}", std::process::id()));
+impl TestDirectory {
+    fn new(name: &str) -> TestDirectory {
+        let path = std::env::temp_dir().join(format!("raft-store-{name}-{}", std::process::id()));
         fs::create_dir_all(&path).unwrap();
-        Own(path)
+        TestDirectory(path)
     }
 }
 
-impl Drop for Own {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn batch(term: u64) -> Batch {
-    let hard = Hard {
-        life: 7,
+fn batch(term: u64) -> WriteBatch {
+    let hard_state = HardState {
+        incarnation: 7,
         term,
         vote: None,
         commit: 0,
     };
-    Batch {
-        hard,
+    WriteBatch {
+        hard_state,
         snapshot: None,
-        drop_to: 0,
-        cut_from: 1,
+        compact_to: 0,
+        truncate_from: 1,
         entries: Vec::new(),
     }
 }
 
-/// Guards the first start and the next: empty, then what was written; a half-made store in the way does no harm; a look
-/// inside works beside the owner and changes nothing.
+/// A store is empty at the first start, then holds what was written. A partial store in the way does no harm, and an inspection
+/// works beside the owner and changes nothing.
 #[test]
-fn a_store_is_made_found_again_and_looked_into() {
-    let folder = Own::new("made");
-    fs::write(folder.0.join("store.new"), b"half").unwrap();
-    assert_eq!(inspect(&folder.0), Ok(None));
-    let mut granary = Granary::open(&folder.0).unwrap();
-    assert_eq!(granary.load(), Ok(Stored::default()));
-    granary.write(&batch(3)).unwrap();
-    let found = inspect(&folder.0).unwrap().unwrap();
-    assert_eq!(found.stored.hard, Some(batch(3).hard));
-    drop(granary);
+fn a_store_is_created_found_again_and_inspected() {
+    let dir = TestDirectory::new("made");
+    fs::write(dir.0.join("store.new"), b"half").unwrap();
+    assert_eq!(inspect(&dir.0), Ok(None));
+    let mut store = Store::open(&dir.0).unwrap();
+    assert_eq!(store.load(), Ok(PersistentState::default()));
+    store.write(&batch(3)).unwrap();
+    let found = inspect(&dir.0).unwrap().unwrap();
+    assert_eq!(found.stored.hard_state, Some(batch(3).hard_state));
+    drop(store);
     assert_eq!(
-        Granary::open(&folder.0).unwrap().load().unwrap().hard,
-        Some(batch(3).hard)
+        Store::open(&dir.0).unwrap().load().unwrap().hard_state,
+        Some(batch(3).hard_state)
     );
 }
 
-/// Guards the choice that only the owner may make: a spoilt store is reported each time, until it is given up.
+/// A corrupt store is reported at each start until its owner quarantines it.
 #[test]
-fn a_spoilt_store_is_reported_until_given_up() {
-    let folder = Own::new("spoilt");
-    Granary::open(&folder.0).unwrap().write(&batch(3)).unwrap();
-    let path = folder.0.join("store.redb");
+fn a_corrupt_store_is_reported_until_quarantined() {
+    let dir = TestDirectory::new("corrupt");
+    Store::open(&dir.0).unwrap().write(&batch(3)).unwrap();
+    let path = dir.0.join("store.redb");
     let mut bytes = fs::read(&path).unwrap();
     bytes.iter_mut().skip(64).for_each(|byte| *byte = 0xa5);
     fs::write(&path, &bytes).unwrap();
     for _ in 0..2 {
-        let spoilt = Granary::open(&folder.0).and_then(|mut granary| granary.load());
-        assert!(matches!(spoilt, Err(Error::Corrupt(_))), "{spoilt:?}");
+        let loaded = Store::open(&dir.0).and_then(|mut store| store.load());
+        assert!(matches!(loaded, Err(StoreError::Corrupt(_))), "{loaded:?}");
     }
-    let shelf = Folder::at(&folder.0);
-    assert_eq!(is_aside(&shelf), Ok(false));
-    set_aside(&shelf).unwrap();
-    assert_eq!(is_aside(&shelf), Ok(true));
+    let directory = DiskDirectory::at(&dir.0);
+    assert_eq!(is_quarantined(&directory), Ok(false));
+    quarantine(&directory).unwrap();
+    assert_eq!(is_quarantined(&directory), Ok(true));
     assert_eq!(
-        Granary::open(&folder.0).unwrap().load(),
-        Ok(Stored::default())
+        Store::open(&dir.0).unwrap().load(),
+        Ok(PersistentState::default())
     );
     assert!(
-        fs::read(folder.0.join(ASIDE)).unwrap() == bytes,
-        "what was set aside is kept"
+        fs::read(dir.0.join(QUARANTINE_FILE)).unwrap() == bytes,
+        "the quarantined store is kept"
     );
 }
 
-/// Guards against a release that is too old for its store and misreads it, or takes it for a corrupt one and gives it up.
+/// A release that is too old for its store neither misreads it nor takes it for a corrupt one.
 #[test]
-fn a_store_of_a_newer_form_is_refused_with_its_number() {
-    let folder = Own::new("newer");
-    Granary::open(&folder.0).unwrap().write(&batch(3)).unwrap();
-    let database = Database::open(folder.0.join("store.redb")).unwrap();
+fn a_store_of_a_newer_format_is_refused_with_its_number() {
+    let dir = TestDirectory::new("newer");
+    Store::open(&dir.0).unwrap().write(&batch(3)).unwrap();
+    let database = Database::open(dir.0.join("store.redb")).unwrap();
     let transaction = database.begin_write().unwrap();
     {
         let heads: TableDefinition<u8, &[u8]> = TableDefinition::new("heads");
@@ -101,15 +103,15 @@
     }
     transaction.commit().unwrap();
     drop(database);
-    let newer = Error::Newer {
+    let newer = StoreError::NewerFormat {
         found: 3,
         expected: 2,
     };
     assert_eq!(
-        Granary::open(&folder.0).and_then(|mut granary| granary.load()),
+        Store::open(&dir.0).and_then(|mut store| store.load()),
         Err(newer)
     );
-    assert_eq!(inspect(&folder.0), Err(newer));
+    assert_eq!(inspect(&dir.0), Err(newer));
     assert_eq!(
         newer.to_string(),
         "store.redb: found format 3, expected at most 2"
--- a/crates/raft-store/tests/power.rs
+++ b/crates/raft-store/tests/power.rs
@@ -1,7 +1,9 @@
-//! The store on a simulated disk that loses power, fills up, and forgets what was not synced.
+//! The store on a simulated disk that loses power, fills up, and loses what was not synced.
 
-use magpieline_raft::{Batch, Entry, Hard, Members, Payload, Seat, Snapshot, Stored};
-use magpieline_raft_store::{builder, Error, Granary, Opener};
+use magpieline_raft::{
+    Entry, HardState, NodeId, Payload, PersistentState, Snapshot, VoterSet, WriteBatch,
+};
+use magpieline_raft_store::{builder, Opener, Store, StoreError};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use redb::StorageBackend;
@@ -65,7 +67,7 @@
         Box::new(move || {
             builder()
                 .create_with_backend(disk.clone())
-                .map_err(Error::of)
+                .map_err(StoreError::from_redb)
         })
     }
 }
@@ -117,27 +119,27 @@
                     change(&mut file, &part);
                 }
             }
-            whole => change(&mut file, whole),
+            complete => change(&mut file, complete),
         }
     }
     file
 }
 
-/// A run of batches such as a core makes: appends of all sizes, cuts, snapshots.
-fn batches(rng: &mut ChaCha8Rng, count: u64) -> Vec<Batch> {
-    let voter = Seat {
+/// Batches such as a node makes: appends of all sizes, truncations, snapshots.
+fn batches(rng: &mut ChaCha8Rng, count: u64) -> Vec<WriteBatch> {
+    let voter = NodeId {
         address: "10.0.0.1:7720".parse().unwrap(),
-        life: 0,
+        incarnation: 0,
     };
     let (mut last, mut covered) = (0, 0);
     let mut batches = Vec::new();
     for term in 1..=count {
-        let cut_from = if rng.gen_ratio(1, 4) {
+        let truncate_from = if rng.gen_ratio(1, 4) {
             rng.gen_range(covered..=last) + 1
         } else {
             last + 1
         };
-        last = cut_from - 1;
+        last = truncate_from - 1;
         let mut entries = Vec::new();
         for _ in 0..rng.gen_range(1..4) {
             last += 1;
@@ -151,50 +153,50 @@
         let mut snapshot = None;
         if rng.gen_ratio(1, 4) {
             covered = last - 1;
-            let members = Members {
+            let voters = VoterSet {
                 voters: vec![voter],
             };
             let state = vec![term as u8; rng.gen_range(0..90_000)];
             snapshot = Some(Arc::new(Snapshot {
                 index: covered,
                 term,
-                members,
+                voters,
                 state,
             }));
         }
-        let hard = Hard {
-            life: 0,
+        let hard_state = HardState {
+            incarnation: 0,
             term,
             vote: Some(voter),
             commit: covered,
         };
-        let drop_to = covered.saturating_sub(2);
-        batches.push(Batch {
-            hard,
+        let compact_to = covered.saturating_sub(2);
+        batches.push(WriteBatch {
+            hard_state,
             snapshot,
-            drop_to,
-            cut_from,
+            compact_to,
+            truncate_from,
             entries,
         });
     }
     batches
 }
 
-/// Guards what an acknowledgement rests on: power is cut before and after every single change of the file, what was not
-/// synced is there, missing or torn, and the store opens with a state no older than the last write that returned, whole.
+/// Power is cut before and after every single change of the file, and what was not synced is there, missing or torn: the store
+/// opens with a complete state no older than the last write that returned.
 #[test]
-fn power_cut_at_every_write_loses_nothing_acknowledged() {
+fn a_power_cut_at_any_write_loses_nothing_acknowledged() {
     let seed = 1;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let disk = Disk::default();
-    drop(Granary::open_with(disk.opener()).unwrap());
+    drop(Store::open_with(disk.opener()).unwrap());
     let start = disk.0.lock().unwrap().file.clone();
     disk.0.lock().unwrap().changes.clear();
-    let mut granary = Granary::open_with(disk.opener()).unwrap();
-    let mut states = vec![Stored::default()];
+    let mut store = Store::open_with(disk.opener()).unwrap();
+    let mut states = vec![PersistentState::default()];
     let mut acknowledged_at = vec![0];
     for batch in batches(&mut rng, 4) {
-        granary.write(&batch).unwrap();
+        store.write(&batch).unwrap();
         let mut state = states.last().unwrap().clone();
         batch.apply(&mut state);
         states.push(state);
@@ -203,8 +205,7 @@
     let changes = disk.0.lock().unwrap().changes.clone();
     for cut in 0..=changes.len() {
         let file = after_loss(&start, &changes[..cut], &mut rng);
-        let loaded =
-            Granary::open_with(Disk::with(file).opener()).and_then(|mut granary| granary.load());
+        let loaded = Store::open_with(Disk::with(file).opener()).and_then(|mut store| store.load());
         let acknowledged = acknowledged_at.iter().rposition(|at| *at <= cut).unwrap();
         let state = states.iter().position(|state| Ok(state) == loaded.as_ref());
         assert!(
@@ -216,56 +217,55 @@
     }
 }
 
-/// Guards the life after a full disk: a write that is refused at any point counts for nothing, the store goes on, and
-/// what was acknowledged before is there.
+/// A write that a full disk refuses at any point counts for nothing, what was acknowledged before is there, and the store goes
+/// on.
 #[test]
 fn a_full_disk_refuses_and_the_store_goes_on() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for refuses_after in 0..8 {
         let disk = Disk::default();
-        let mut granary = Granary::open_with(disk.opener()).unwrap();
+        let mut store = Store::open_with(disk.opener()).unwrap();
         let batches = batches(&mut rng, 4);
-        let mut state = Stored::default();
+        let mut state = PersistentState::default();
         batches[..3].iter().for_each(|batch| {
-            granary.write(batch).unwrap();
+            store.write(batch).unwrap();
             batch.apply(&mut state);
         });
         disk.0.lock().unwrap().refuses_after = Some(refuses_after);
-        let full = granary.write(&batches[3]);
+        let full = store.write(&batches[3]);
         if full == Ok(()) {
             continue;
         }
-        assert_eq!(full, Err(Error::Full));
-        assert!(granary.write(&batches[3]).is_err(), "still full");
+        assert_eq!(full, Err(StoreError::DiskFull));
+        assert!(store.write(&batches[3]).is_err(), "still full");
         disk.0.lock().unwrap().refuses_after = None;
         let before = state.clone();
         batches[3].apply(&mut state);
-        let found = granary.load().unwrap();
+        let found = store.load().unwrap();
         assert!(
             found == before || found == state,
             "neither before nor after"
         );
-        assert_eq!(granary.write(&batches[3]), Ok(()));
-        assert_eq!(granary.load().unwrap(), state);
+        assert_eq!(store.write(&batches[3]), Ok(()));
+        assert_eq!(store.load().unwrap(), state);
     }
 }
 
-/// Guards against a flipped bit taken for state in a store that was closed in order: it is found out, or changes nothing
-/// that is read.
+/// A flipped bit in a store that was closed in order is reported, or changes nothing that is read.
 #[test]
 fn a_flipped_bit_is_reported() {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let disk = Disk::default();
-    let mut granary = Granary::open_with(disk.opener()).unwrap();
-    let mut state = Stored::default();
+    let mut store = Store::open_with(disk.opener()).unwrap();
+    let mut state = PersistentState::default();
     for batch in batches(&mut rng, 6) {
-        granary.write(&batch).unwrap();
+        store.write(&batch).unwrap();
         batch.apply(&mut state);
     }
-    drop(granary);
+    drop(store);
     let file = disk.0.lock().unwrap().file.clone();
     let mut reported = 0;
-    // Most of the file is room: bits of the commands and of the state are flipped.
+    // Most of the file is unused: bits of the commands and of the state are flipped.
     let is_value = |at: &usize| {
         file[*at - 4..*at + 4]
             .iter()
@@ -276,10 +276,10 @@
         let mut file = file.clone();
         let at = used[rng.gen_range(0..used.len())];
         file[at] ^= 1 << rng.gen_range(0..8);
-        match Granary::open_with(Disk::with(file).opener()).and_then(|mut granary| granary.load()) {
+        match Store::open_with(Disk::with(file).opener()).and_then(|mut store| store.load()) {
             Ok(found) => assert!(found == state, "byte {at}"),
             Err(error) => {
-                assert!(matches!(error, Error::Corrupt(_)), "{error}");
+                assert!(matches!(error, StoreError::Corrupt(_)), "{error}");
                 reported += 1;
             }
         }
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -1,116 +1,161 @@
-//! What machines say to each other.
+//! The messages that nodes exchange. Any of them may be lost, late, duplicated or out of order.
 
-use crate::{Entry, Index, Members, Seat, Term};
+use crate::log::Entry;
+use crate::types::{Index, NodeId, Term};
+use crate::voter_set::VoterSet;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// A message with its sender and receiver. Any of them may be lost, late, doubled or out of order.
+/// A message with its sender and its receiver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    pub from: Seat,
-    /// Only the life it was meant for heeds it (`Ask` aside, whose sender does not know lives yet).
-    pub to: Seat,
-    /// The sender's term, on its disk before this was sent.
+    /// The sender.
+    pub from: NodeId,
+    /// The receiver. Other incarnations at its address ignore the message, except for a `JoinRequest` and a `LeaderHint`, whose
+    /// senders need not know the incarnation.
+    pub to: NodeId,
+    /// The sender's term, which was on its disk before this was sent.
     pub term: Term,
+    /// What it says.
     pub message: Message,
 }
 
-/// Bounded: the bytes of commands or of a snapshot in one message are at most [`crate::PIECE`] and one entry's overhead
-/// each; lists of members hold at most [`crate::MAX_VOTERS`] (twice that in `Point`).
+/// What one node says to another.
+///
+/// Messages are bounded: a message carries at most [`crate::CHUNK_BYTES`] bytes of commands or of a snapshot, and the
+/// overhead of one entry for each; lists of nodes hold at most [`crate::MAX_VOTERS`], twice that in `LeaderHint`.
+///
+/// The order of the variants and of their fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me in the term after the one that I hold? My log ends at `last`, of `last_term`.
-    PreVote {
-        last: Index,
+    /// Asks whether the receiver would vote for the sender in the term after the sender's (thesis, 9.6).
+    PreVoteRequest {
+        /// The end of the sender's log.
+        last_index: Index,
+        /// The term of the entry there.
         last_term: Term,
     },
-    /// The answer for a candidacy in `next_term`.
-    PreVoteReply {
+    /// Answers a pre-vote.
+    PreVoteResponse {
+        /// The term of the candidacy.
         next_term: Term,
+        /// Whether the sender would vote.
         granted: bool,
     },
-    /// The answer of one that has heard no leader since it started a moment ago, and keeps to what it may have promised
-    /// one before: yes, if every voter has restarted as it has.
-    /// `start` is different at each start.
-    PreVoteIfAll {
+    /// Answers a pre-vote for a node that has heard no leader since its restart a moment ago, and is still bound by what it
+    /// may have promised a leader before: its vote is granted if every voter has restarted as well.
+    PreVoteIfAllRestarted {
+        /// The term of the candidacy.
         next_term: Term,
-        start: u64,
+        /// Different at each start of the sender.
+        boot_id: u64,
     },
-    /// Vote for me in this term. `handed_over`: the old leader asked me to. `restarted`: all voters have, the receiver at
-    /// this start, and none leads.
-    Vote {
-        last: Index,
+    /// Asks for a vote in the sender's term.
+    VoteRequest {
+        /// The end of the candidate's log.
+        last_index: Index,
+        /// The term of the entry there.
         last_term: Term,
-        handed_over: bool,
-        restarted: Option<u64>,
+        /// The former leader asked for this election by `TimeoutNow`.
+        leadership_transfer: bool,
+        /// All voters have restarted and none leads; the receiver's boot id.
+        all_restarted: Option<u64>,
     },
-    VoteReply {
+    /// Answers a request for a vote.
+    VoteResponse {
+        /// Whether the vote is the candidate's.
         granted: bool,
     },
-    /// From the leader: `entries` follow right after `prev`. Without entries a sign of life and a check of `prev`.
-    Append {
-        round: u64,
-        prev: Index,
+    /// From the leader: entries that follow right after `prev_index`. Without entries it is a heartbeat that also checks
+    /// `prev_index`.
+    AppendEntries {
+        /// The leader's newest heartbeat.
+        heartbeat: u64,
+        /// The entry before the first one here.
+        prev_index: Index,
+        /// Its term.
         prev_term: Term,
+        /// The leader's commit index.
         commit: Index,
+        /// The entries, in order and without gaps.
         entries: Vec<Entry>,
     },
-    /// The log agrees with the leader's, and is on disk, up to `matched`. `missing`: `prev` was not there; try after this.
-    AppendReply {
-        round: u64,
-        matched: Index,
-        missing: Option<Index>,
+    /// Answers `AppendEntries`.
+    AppendResponse {
+        /// The newest heartbeat that the follower has seen.
+        heartbeat: u64,
+        /// The follower's log agrees with the leader's, and is on its disk, up to here.
+        match_index: Index,
+        /// The entry at `prev_index` did not match: where to try next.
+        reject_hint: Option<Index>,
     },
-    /// From the leader: the bytes of its snapshot from `offset`, of `total`.
-    Fill {
+    /// From the leader: a chunk of its snapshot.
+    InstallSnapshot {
+        /// The last entry that the snapshot covers.
         index: Index,
+        /// The term of that entry.
         snapshot_term: Term,
-        members: Members,
-        total: u64,
+        /// The voters as of that entry.
+        voters: VoterSet,
+        /// Bytes of the whole snapshot.
+        total_bytes: u64,
+        /// Where in it this chunk begins.
         offset: u64,
+        /// The chunk.
         #[serde(with = "serde_bytes")]
         bytes: Vec<u8>,
     },
-    /// All bytes before `have` are here. `gap`: one came that does not follow.
-    FillReply {
+    /// Answers `InstallSnapshot`.
+    InstallSnapshotResponse {
+        /// The snapshot that is being received.
         index: Index,
-        have: u64,
+        /// All bytes before this offset are here.
+        received: u64,
+        /// A chunk arrived that does not follow.
         gap: bool,
     },
-    /// From a leader that gives way: stand for election at once.
-    HandOver,
-    /// I don't hear a leader: take me in, or back. My log ends at `last`.
-    Ask {
-        last: Index,
+    /// From a leader that hands its leadership over: stand for election at once (thesis, 3.10).
+    TimeoutNow,
+    /// From a node that hears no leader: take me in, or back.
+    JoinRequest {
+        /// The end of the sender's log.
+        last_index: Index,
     },
-    /// The answer of a machine that does not lead.
-    Point {
+    /// Says where the leader and the voters are, as far as the sender knows.
+    LeaderHint {
+        /// The leader's address.
         leader: Option<SocketAddrV4>,
+        /// The voters' addresses.
         members: Vec<SocketAddrV4>,
     },
-    /// To the leader: this machine stops. `token` is drawn anew whenever a process begins to leave.
-    /// `waiting`: machines that wait for a seat, if the sender led until now.
-    Leave {
+    /// To the leader: the sender is about to stop.
+    LeaveRequest {
+        /// Drawn anew whenever a process begins to leave.
         token: u64,
-        waiting: Option<Vec<Seat>>,
+        /// The nodes that wait to become voters, if the sender led until now.
+        waiting: Option<Vec<NodeId>>,
     },
-    /// The leader's answer to a `Leave`: the sender is not needed any more.
-    Left {
+    /// The leader's answer to a `LeaveRequest`: the sender is no longer needed.
+    LeaveResponse {
+        /// The request's.
         token: u64,
     },
 }
 
 impl Message {
     /// Whether only a leader sends it.
-    pub(crate) fn is_leaders(&self) -> bool {
-        matches!(self, Message::Append { .. } | Message::Fill { .. })
+    pub(crate) fn is_from_leader(&self) -> bool {
+        matches!(
+            self,
+            Message::AppendEntries { .. } | Message::InstallSnapshot { .. }
+        )
     }
 
-    /// Bytes of commands or snapshot in it, for whoever counts what crosses the links.
-    pub fn carried(&self) -> usize {
+    /// Returns the bytes of commands or of a snapshot in it, for whoever accounts for the links.
+    pub fn payload_bytes(&self) -> usize {
         match self {
-            Message::Append { entries, .. } => entries.iter().map(Entry::weight).sum(),
-            Message::Fill { bytes, .. } => bytes.len(),
+            Message::AppendEntries { entries, .. } => entries.iter().map(Entry::size).sum(),
+            Message::InstallSnapshot { bytes, .. } => bytes.len(),
             _ => 0,
         }
     }
--- a/crates/raft/src/persistence.rs
+++ b/crates/raft/src/persistence.rs
@@ -1,272 +1,245 @@
-//! What is written when, and what waits for it.
+//! What a node keeps on disk, and which part of it is durable.
 //!
-//! One write at a time; what changes meanwhile goes into the next one. A batch is made from what holds when it is made,
-//! so a refused one needs no undoing: the next simply holds all of it again. No message leaves before the term, vote and
-//! life that it speaks for are on disk.
+//! One write at a time; what changes meanwhile goes into the next one. A batch is made from what holds when it is made, so
+//! a failed one needs no undoing: the next one simply holds all of it again. No message leaves before the term, vote and
+//! incarnation that it speaks for are on disk.
 
-use crate::log::Log;
-use crate::{Action, Core, Entry, Envelope, Index, Message, Micros, Role, Seat, Snapshot, Term};
+use crate::log::{Entry, Log, Snapshot};
+use crate::message::Envelope;
+use crate::types::{Index, Micros, NodeId, Term, ANY_INCARNATION};
 use rand::RngCore;
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A write under way for so long counts as hanging: a disk in trouble takes 60 ms a sync, thirty times its usual, and a
-/// large batch a few of these.
-const PATIENCE: Micros = 1_000_000;
-/// How often a disk that refused is tried again.
-const RETRY: Micros = 1_000_000;
-/// Messages that wait for the disk; older ones are dropped, as the network might have.
-const MOST_HELD: usize = 64;
+/// A write that takes so long counts as hanging: a disk in trouble takes 60 ms a sync, thirty times its usual, and a large
+/// batch takes a few syncs.
+const WRITE_TIMEOUT: Micros = 1_000_000;
+/// How often a write is tried again after the disk refused one.
+const WRITE_RETRY: Micros = 1_000_000;
+/// Messages that wait for the disk. Older ones are dropped, as the network might have.
+const MAX_DEFERRED_MESSAGES: usize = 64;
 
-/// What a machine must not forget.
+/// What a node must not forget (Raft, figure 2: persistent state).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
-    /// Which life this store belongs to.
-    pub life: u64,
+pub struct HardState {
+    /// Which incarnation of the machine this store belongs to.
+    pub incarnation: u64,
+    /// The newest term seen.
     pub term: Term,
-    /// Whom this machine voted for (or followed) in `term`.
-    pub vote: Option<Seat>,
-    /// In force up to here at least.
+    /// Whom this node voted for, or followed, in `term`.
+    pub vote: Option<NodeId>,
+    /// Entries up to here at least are committed.
     pub commit: Index,
 }
 
-impl Hard {
-    /// At the first start on an empty store.
-    pub(crate) fn begin(founds: bool, rng: &mut ChaCha8Rng) -> Hard {
-        // The last life is the "whoever is there" of `Ask`.
-        let life = if founds {
+impl HardState {
+    /// The state of the first start on an empty store.
+    pub(crate) fn initial(is_founder: bool, rng: &mut ChaCha8Rng) -> HardState {
+        let incarnation = if is_founder {
             0
         } else {
-            rng.next_u64().clamp(1, u64::MAX - 1)
+            rng.next_u64().clamp(1, ANY_INCARNATION - 1)
         };
-        Hard {
-            life,
+        HardState {
+            incarnation,
             term: 0,
             vote: None,
-            commit: u64::from(founds),
+            commit: u64::from(is_founder),
         }
     }
 }
 
-/// What a store gives back.
+/// What a store gives back at a start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Stored {
-    /// None: the store is empty.
-    pub hard: Option<Hard>,
+pub struct PersistentState {
+    /// None if the store is empty.
+    pub hard_state: Option<HardState>,
+    /// The newest snapshot.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// In order, without gaps.
+    /// The entries, in order and without gaps.
     pub entries: Vec<Entry>,
 }
 
 /// One write: all of it or nothing, in the order of the fields.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Batch {
-    pub hard: Hard,
-    /// Takes the place of the one stored.
+pub struct WriteBatch {
+    /// Replaces the one stored.
+    pub hard_state: HardState,
+    /// Replaces the one stored, if there is one here.
     pub snapshot: Option<Arc<Snapshot>>,
-    /// Stored entries up to here go.
-    pub drop_to: Index,
-    /// Stored entries from here on go.
-    pub cut_from: Index,
-    /// They follow.
+    /// Stored entries up to here are dropped.
+    pub compact_to: Index,
+    /// Stored entries from here on are dropped.
+    pub truncate_from: Index,
+    /// Then these are appended.
     pub entries: Vec<Entry>,
 }
 
-impl Batch {
-    /// What the batch makes of what is stored; stores are tested against it.
-    pub fn apply(&self, stored: &mut Stored) {
-        stored.hard = Some(self.hard);
+impl WriteBatch {
+    /// Applies the batch to what is stored; stores are tested against it.
+    pub fn apply(&self, stored: &mut PersistentState) {
+        stored.hard_state = Some(self.hard_state);
         if let Some(snapshot) = &self.snapshot {
             stored.snapshot = Some(snapshot.clone());
         }
-        stored
-            .entries
-            .retain(|entry| entry.index > self.drop_to && entry.index < self.cut_from);
+        let stays =
+            |entry: &Entry| entry.index > self.compact_to && entry.index < self.truncate_from;
+        stored.entries.retain(stays);
         stored.entries.extend(self.entries.iter().cloned());
     }
 }
 
-pub(crate) struct Disk {
-    /// Goes up with every change of term, vote or life.
-    version: u64,
+/// Which part of a node's state is on disk, the write in flight, and the messages that wait for it.
+pub(crate) struct Persistence {
+    /// Goes up with every change of term, vote or incarnation.
+    hard_state_version: u64,
     durable_version: u64,
     /// Log and snapshot up to here are on disk as they are in memory.
-    pub(crate) durable: Index,
-    durable_commit: Index,
-    pub(crate) snapshot_due: bool,
+    pub(crate) durable_index: Index,
+    pub(crate) durable_commit: Index,
+    /// The snapshot is to be part of the next write.
+    pub(crate) is_snapshot_due: bool,
     serial: u64,
-    writing: Option<Writing>,
-    refused_at: Option<Micros>,
-    held: VecDeque<(u64, Envelope)>,
+    in_flight: Option<WriteInFlight>,
+    failed_at: Option<Micros>,
+    /// Messages, each with the version of the hard state that must be durable before it leaves.
+    deferred: VecDeque<(u64, Envelope)>,
 }
 
-struct Writing {
+/// What a write covers.
+pub(crate) struct WriteInFlight {
     serial: u64,
-    since: Micros,
+    started_at: Micros,
     version: u64,
-    last: Index,
+    last_index: Index,
+    /// The snapshot that it holds.
     snapshot: Option<Index>,
     commit: Index,
 }
 
-impl Disk {
-    pub(crate) fn of(log: &Log, fresh: bool, commit: Index) -> Disk {
-        Disk {
-            version: u64::from(fresh),
+impl WriteInFlight {
+    pub(crate) fn snapshot(&self) -> Option<Index> {
+        self.snapshot
+    }
+}
+
+impl Persistence {
+    /// The state after a start: all of the log is on disk unless the store was empty.
+    pub(crate) fn after_start(log: &Log, is_empty: bool, commit: Index) -> Persistence {
+        Persistence {
+            hard_state_version: u64::from(is_empty),
             durable_version: 0,
-            durable: if fresh { 0 } else { log.last() },
+            durable_index: if is_empty { 0 } else { log.last_index() },
             durable_commit: commit,
-            snapshot_due: false,
+            is_snapshot_due: false,
             serial: 0,
-            writing: None,
-            refused_at: None,
-            held: VecDeque::new(),
+            in_flight: None,
+            failed_at: None,
+            deferred: VecDeque::new(),
         }
     }
 
-    /// Term, vote or life changed.
-    pub(crate) fn hard_changed(&mut self) {
-        self.version += 1;
+    /// Takes note that term, vote or incarnation changed.
+    pub(crate) fn on_hard_state_change(&mut self) {
+        self.hard_state_version += 1;
     }
 
-    pub(crate) fn is_hard_durable(&self) -> bool {
-        self.durable_version == self.version
+    pub(crate) fn is_hard_state_durable(&self) -> bool {
+        self.durable_version == self.hard_state_version
     }
 
-    /// The log was cut: what is kept ends before `from`.
-    pub(crate) fn cut(&mut self, from: Index) {
-        self.durable = self.durable.min(from - 1);
-        if let Some(writing) = &mut self.writing {
-            writing.last = writing.last.min(from - 1);
+    /// Takes note that the log was truncated: what is kept ends before `from`.
+    pub(crate) fn truncate_from(&mut self, from: Index) {
+        self.durable_index = self.durable_index.min(from - 1);
+        if let Some(write) = &mut self.in_flight {
+            write.last_index = write.last_index.min(from - 1);
         }
     }
 
-    /// When to try again after a refused write.
-    pub(crate) fn retry_due(&self) -> Option<Micros> {
-        self.refused_at
-            .filter(|_| self.writing.is_none())
-            .map(|at| at + RETRY)
+    /// Returns when to try again after a failed write.
+    pub(crate) fn retry_at(&self) -> Option<Micros> {
+        self.failed_at
+            .filter(|_| self.in_flight.is_none())
+            .map(|at| at + WRITE_RETRY)
     }
-}
 
-impl Core {
     /// Whether a leader may rely on this disk.
-    pub(crate) fn is_disk_fit(&self) -> bool {
-        let hangs = |writing: &Writing| self.now >= writing.since + PATIENCE;
-        self.disk.refused_at.is_none() && !self.disk.writing.as_ref().is_some_and(hangs)
+    pub(crate) fn is_healthy(&self, now: Micros) -> bool {
+        let hangs = |write: &WriteInFlight| now >= write.started_at + WRITE_TIMEOUT;
+        self.failed_at.is_none() && !self.in_flight.as_ref().is_some_and(hangs)
     }
 
-    pub(crate) fn send(&mut self, to: Seat, message: Message) {
-        let envelope = Envelope {
-            from: self.me,
-            to,
-            term: self.term,
-            message,
-        };
-        if self.disk.is_hard_durable() {
-            self.out.push(Action::Send(envelope));
-            return;
-        }
-        if self.disk.held.len() == MOST_HELD {
-            self.disk.held.pop_front();
-        }
-        self.disk.held.push_back((self.disk.version, envelope));
+    /// Whether the last write failed, and none was completed since.
+    pub(crate) fn has_failed(&self) -> bool {
+        self.failed_at.is_some()
     }
 
-    /// Writes what has changed, unless a write is under way.
-    pub(crate) fn flush(&mut self) {
-        let disk = &mut self.disk;
-        if disk.writing.is_some() || disk.retry_due().is_some_and(|due| self.now < due) {
-            return;
-        }
-        let last = self.log.last();
-        let newest_list = self.roll.newest_index();
-        // That a list of voters is in force must be known after a loss of all power, or a machine may need votes of the
-        // list before it that can't be had.
-        let list_due = newest_list <= self.commit && newest_list > disk.durable_commit;
-        let due = !disk.is_hard_durable() || last > disk.durable || disk.snapshot_due || list_due;
-        if !due && disk.refused_at.is_none() {
-            return;
-        }
-        disk.serial += 1;
-        let commit = self.commit.min(last);
-        let hard = Hard {
-            life: self.me.life,
-            term: self.term,
-            vote: self.vote,
-            commit,
-        };
-        let snapshot = self.log.snapshot().filter(|_| disk.snapshot_due).cloned();
-        let cut_from = disk.durable.max(self.log.base()) + 1;
-        disk.writing = Some(Writing {
-            serial: disk.serial,
-            since: self.now,
-            version: disk.version,
-            last,
-            snapshot: snapshot.as_ref().map(|snapshot| snapshot.index),
-            commit,
-        });
-        let entries = self.log.since(cut_from).cloned().collect();
-        let batch = Batch {
-            hard,
+    /// Whether a write may start now.
+    pub(crate) fn is_ready(&self, now: Micros) -> bool {
+        self.in_flight.is_none() && self.retry_at().is_none_or(|due| now >= due)
+    }
+
+    /// Starts a write that brings the log up to `last_index`; returns its serial.
+    pub(crate) fn start_write(
+        &mut self,
+        now: Micros,
+        last_index: Index,
+        snapshot: Option<Index>,
+        commit: Index,
+    ) -> u64 {
+        self.serial += 1;
+        self.in_flight = Some(WriteInFlight {
+            serial: self.serial,
+            started_at: now,
+            version: self.hard_state_version,
+            last_index,
             snapshot,
-            drop_to: self.log.base(),
-            cut_from,
-            entries,
-        };
-        self.out.push(Action::Write {
-            serial: disk.serial,
-            batch,
+            commit,
         });
+        self.serial
     }
 
-    pub(crate) fn synced(&mut self, serial: u64) {
-        let Some(writing) = self
-            .disk
-            .writing
-            .take_if(|writing| writing.serial == serial)
-        else {
-            return;
-        };
-        let disk = &mut self.disk;
-        disk.refused_at = None;
-        disk.durable_version = writing.version;
-        disk.durable = disk
-            .durable
-            .max(writing.last)
-            .max(writing.snapshot.unwrap_or(0));
-        disk.durable_commit = disk.durable_commit.max(writing.commit);
-        if writing.snapshot == Some(self.log.snapshot_index()) {
-            disk.snapshot_due = false;
-        }
-        while disk
-            .held
-            .front()
-            .is_some_and(|(version, _)| *version <= writing.version)
-        {
-            let (_, envelope) = disk.held.pop_front().expect("looked at");
-            if envelope.term == self.term {
-                self.out.push(Action::Send(envelope));
-            }
-        }
-        self.reply_durable();
+    /// Takes note that a write is on disk; returns what it covered, or none if no such write was in flight.
+    pub(crate) fn on_persisted(&mut self, serial: u64) -> Option<WriteInFlight> {
+        let write = self.in_flight.take_if(|write| write.serial == serial)?;
+        self.failed_at = None;
+        self.durable_version = write.version;
+        self.durable_index = self
+            .durable_index
+            .max(write.last_index)
+            .max(write.snapshot.unwrap_or(0));
+        self.durable_commit = self.durable_commit.max(write.commit);
+        Some(write)
     }
 
-    pub(crate) fn refused(&mut self, serial: u64) {
-        if self
-            .disk
-            .writing
-            .take_if(|writing| writing.serial == serial)
-            .is_none()
-        {
-            return;
+    /// Takes note that the disk refused a write; returns whether it was in flight.
+    pub(crate) fn on_write_failed(&mut self, now: Micros, serial: u64) -> bool {
+        let was_in_flight = self
+            .in_flight
+            .take_if(|write| write.serial == serial)
+            .is_some();
+        if was_in_flight {
+            self.failed_at = Some(now);
         }
-        self.disk.refused_at = Some(self.now);
-        self.give_way();
-        if self.role != Role::Follower {
-            self.stand_back();
+        was_in_flight
+    }
+
+    /// Keeps a message back until the present hard state is on disk.
+    pub(crate) fn defer(&mut self, envelope: Envelope) {
+        if self.deferred.len() == MAX_DEFERRED_MESSAGES {
+            self.deferred.pop_front();
         }
+        self.deferred.push_back((self.hard_state_version, envelope));
+    }
+
+    /// Returns the next message whose hard state is on disk.
+    pub(crate) fn next_released(&mut self) -> Option<Envelope> {
+        let durable = self.durable_version;
+        let released = self
+            .deferred
+            .pop_front_if(|(version, _)| *version <= durable);
+        released.map(|(_, envelope)| envelope)
     }
 }
--- a/crates/raft/tests/compaction.rs
+++ b/crates/raft/tests/compaction.rs
@@ -1,48 +1,50 @@
-//! When the log is compacted, and what a member that is behind gets then.
+//! When the log is compacted.
 
-use magpieline_raft::{Action, Core, Event, Start, Stored};
+use magpieline_raft::{Action, Config, Event, PersistentState, RaftNode};
 
-/// A core that votes alone, on a disk that takes every write at once, and its state: the commands' bytes.
-struct Alone {
+/// The only voter, on a disk that takes every write at once, and its state: the last command's bytes.
+struct SingleNode {
     now: u64,
-    core: Core,
+    node: RaftNode,
     state: Vec<u8>,
 }
 
-impl Alone {
-    fn founded() -> Alone {
-        let me = "10.0.0.1:7720".parse().expect("an address");
-        let start = Start {
-            me,
-            seeds: vec![me],
+impl SingleNode {
+    fn leading() -> SingleNode {
+        let address = "10.0.0.1:7720".parse().expect("an address");
+        let start = Config {
+            address,
+            seeds: vec![address],
             first_run: true,
             seed: 1,
-            withstand: 0,
-            catch_up: 4_000_000,
+            tolerated_failures: 0,
+            recovery_interval: 4_000_000,
         };
-        let (core, actions) = Core::start(0, start, Stored::default());
-        let mut alone = Alone {
+        let (node, actions) = RaftNode::start(0, start, PersistentState::default());
+        let mut single = SingleNode {
             now: 0,
-            core,
+            node,
             state: Vec::new(),
         };
-        alone.carry_out(actions, true);
-        while !alone.core.leads(alone.now) {
-            alone.now = alone.core.next_wake().max(alone.now + 1);
-            alone.step(Event::Tick, true);
+        single.perform(actions, true);
+        while !single.node.holds_lease(single.now) {
+            single.now = single.node.next_wake().max(single.now + 1);
+            single.step(Event::Tick, true);
         }
-        alone
+        single
     }
 
-    fn step(&mut self, event: Event, syncs: bool) {
-        let actions = self.core.step(self.now, event);
-        self.carry_out(actions, syncs);
+    fn step(&mut self, event: Event, persists: bool) {
+        let actions = self.node.step(self.now, event);
+        self.perform(actions, persists);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, syncs: bool) {
+    fn perform(&mut self, actions: Vec<Action>, persists: bool) {
         for action in actions {
             match action {
-                Action::Write { serial, .. } if syncs => self.step(Event::Synced { serial }, true),
+                Action::Write { serial, .. } if persists => {
+                    self.step(Event::Persisted { serial }, true)
+                }
                 Action::Apply { command, .. } => self.state = command,
                 _ => {}
             }
@@ -51,64 +53,64 @@
 
     fn compact(&mut self) {
         let event = Event::Compact {
-            index: self.core.applied(),
+            index: self.node.applied_index(),
             state: self.state.clone(),
         };
         self.step(event, true);
     }
 }
 
-/// Guards against a machine that hangs on the first large command: a compaction was wanted again and again while the
-/// command's entries, which are not in force yet, made the log long; the owner carries it out before anything else.
+/// A node must not hang on the first large command: a compaction would be due again and again while the command's entries,
+/// which are not committed yet, make the log long; the owner carries compactions out before anything else.
 #[test]
-fn a_compaction_is_never_wanted_again_at_once() {
+fn a_compaction_is_never_due_again_at_once() {
     for bytes in [3 << 20, 5 << 20, 15 << 20] {
-        let mut alone = Alone::founded();
-        alone.step(
+        let mut single = SingleNode::leading();
+        single.step(
             Event::Propose {
-                ticket: 1,
+                request_id: 1,
                 command: b"small".to_vec(),
             },
             true,
         );
-        alone.compact();
-        // On its way to the disk.
-        alone.step(
+        single.compact();
+        // The write is in flight.
+        single.step(
             Event::Propose {
-                ticket: 2,
+                request_id: 2,
                 command: vec![7; bytes],
             },
             false,
         );
-        if alone.core.wants_compact() {
-            alone.compact();
+        if single.node.should_compact() {
+            single.compact();
         }
         assert!(
-            !alone.core.wants_compact(),
-            "{bytes} bytes under way, and the log can't be shorter"
+            !single.node.should_compact(),
+            "{bytes} bytes in flight, and the log can't be shorter"
         );
     }
 }
 
-/// Guards the disk: the log never holds more than twice the state, or 4 MB, and the last command beside it.
+/// The log never holds more than twice the state, or 4 MB, and the last command beside it.
 #[test]
 fn the_log_stays_short_however_large_the_commands() {
     for bytes in [100, 300_000, 4 << 20] {
-        let mut alone = Alone::founded();
+        let mut single = SingleNode::leading();
         let mut compactions = 0;
-        for ticket in 0..2_000_000_000 / (bytes as u64 + 1_000_000) {
-            alone.step(
+        for request_id in 0..2_000_000_000 / (bytes as u64 + 1_000_000) {
+            single.step(
                 Event::Propose {
-                    ticket,
-                    command: vec![ticket as u8; bytes],
+                    request_id,
+                    command: vec![request_id as u8; bytes],
                 },
                 true,
             );
-            assert!(alone.state.len() == bytes, "applied");
-            if alone.core.wants_compact() {
-                alone.compact();
+            assert!(single.state.len() == bytes, "applied");
+            if single.node.should_compact() {
+                single.compact();
                 compactions += 1;
-                assert!(!alone.core.wants_compact(), "again at once");
+                assert!(!single.node.should_compact(), "again at once");
             }
         }
         let weighed = 2_000_000_000 / (bytes as u64 + 1_000_000) * bytes as u64;
--- a/tools/raft-simulation/src/bounded_losses.rs
+++ b/tools/raft-simulation/src/bounded_losses.rs
@@ -1,8 +1,8 @@
-//! Losses as a deployment promises them: never more at once than `withstand`, the next as soon as the last has had its
-//! `catch_up`, and whenever no more than that is lost somebody leads.
+//! FailureSchedule as a deployment promises them: never more at once than `tolerated_failures`, the next as soon as the last has had its
+//! `recovery_interval`, and whenever no more than that is lost somebody leads.
 
-use crate::cluster::{Call, Grove, GRACE};
-use crate::{address, Fault, Micros, Trouble, MILLI, SECOND};
+use crate::cluster::{Call, Cluster, GRACE};
+use crate::{address, DiskFault, Fault, Micros, MILLI, SECOND};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -38,7 +38,7 @@
 }
 
 /// The account of a run's losses.
-pub(crate) struct Losses {
+pub(crate) struct FailureSchedule {
     rng: ChaCha8Rng,
     health: Vec<Health>,
     /// Who takes whose place.
@@ -51,7 +51,7 @@
     led_at: Micros,
 }
 
-impl Losses {
+impl FailureSchedule {
     fn later(&mut self, at: Micros, due: Due) {
         self.order += 1;
         self.ahead.insert((at, self.order), due);
@@ -71,9 +71,9 @@
             .collect()
     }
 
-    fn is_lost(&self, machine: usize, now: Micros, catch_up: Micros) -> bool {
+    fn is_lost(&self, machine: usize, now: Micros, recovery_interval: Micros) -> bool {
         match self.health[machine] {
-            Health::Up(since) => now < since + catch_up,
+            Health::Up(since) => now < since + recovery_interval,
             Health::Lost => true,
             Health::Leaving { .. } | Health::Gone => false,
         }
@@ -81,11 +81,11 @@
 
     /// How many machines count as lost. One that leaves for good, or is gone, counts until its successor, or that one's,
     /// has had its time; the two together count once.
-    fn count(&self, now: Micros, catch_up: Micros) -> usize {
+    fn count(&self, now: Micros, recovery_interval: Micros) -> usize {
         let machines = 0..self.health.len();
         let lost = machines
             .clone()
-            .filter(|machine| self.is_lost(*machine, now, catch_up))
+            .filter(|machine| self.is_lost(*machine, now, recovery_interval))
             .count();
         let away = |machine: &usize| match self.health[*machine] {
             Health::Leaving { again: true, .. } => true,
@@ -98,15 +98,15 @@
     }
 }
 
-impl Grove {
-    /// Loses machines as `withstand` and `catch_up` allow, with clients calling, for so many steps; then all are back, and
+impl Cluster {
+    /// Loses machines as `tolerated_failures` and `recovery_interval` allow, with clients calling, for so many steps; then all are back, and
     /// all that was acknowledged is there. Panics if not, or if nobody led when somebody should have.
-    pub fn endure_losses(&mut self, seed: u64, steps: u64) {
-        self.run_for(self.world.catch_up);
-        let now = self.world.now();
-        let mut losses = Losses {
+    pub fn run_with_bounded_failures(&mut self, seed: u64, steps: u64) {
+        self.run_for(self.simulator.recovery_interval);
+        let now = self.simulator.now();
+        let mut schedule = FailureSchedule {
             rng: ChaCha8Rng::seed_from_u64(seed ^ 0x1055),
-            health: vec![Health::Up(0); self.world.machines()],
+            health: vec![Health::Up(0); self.simulator.machines()],
             successor: BTreeMap::new(),
             ahead: BTreeMap::new(),
             order: 0,
@@ -115,109 +115,109 @@
             led_at: now,
         };
         let mut call_at = 0;
-        while self.world.steps() < steps {
-            let due = losses
+        while self.simulator.steps() < steps {
+            let due = schedule
                 .ahead
                 .first_key_value()
                 .map_or(Micros::MAX, |((at, _), _)| *at);
-            let next = losses.next_at.min(call_at).min(due);
-            if self.world.next_at().is_some_and(|at| at <= next) {
+            let next = schedule.next_at.min(call_at).min(due);
+            if self.simulator.next_at().is_some_and(|at| at <= next) {
                 self.step();
             } else {
-                self.world.pass(next);
+                self.simulator.pass(next);
                 if next == due {
-                    let (_, due) = losses.ahead.pop_first().expect("looked at");
-                    self.happen(&mut losses, due);
+                    let (_, due) = schedule.ahead.pop_first().expect("looked at");
+                    self.happen(&mut schedule, due);
                 } else if next == call_at {
-                    call_at = next + losses.rng.gen_range(MILLI..150 * MILLI);
+                    call_at = next + schedule.rng.gen_range(MILLI..150 * MILLI);
                     self.call_by_chance();
                 } else {
-                    losses.next_at = next + losses.rng.gen_range(10 * MILLI..PAUSE);
-                    self.lose(&mut losses);
+                    schedule.next_at = next + schedule.rng.gen_range(10 * MILLI..PAUSE);
+                    self.lose(&mut schedule);
                 }
             }
-            self.see_off(&mut losses);
-            self.check_led(&mut losses);
+            self.see_off(&mut schedule);
+            self.check_led(&mut schedule);
         }
-        while let Some((_, due)) = losses.ahead.pop_first() {
-            self.happen(&mut losses, due);
+        while let Some((_, due)) = schedule.ahead.pop_first() {
+            self.happen(&mut schedule, due);
         }
-        for machine in 0..losses.health.len() {
-            match losses.health[machine] {
+        for machine in 0..schedule.health.len() {
+            match schedule.health[machine] {
                 Health::Leaving { again: false, .. } => self.end(machine),
-                Health::Leaving { again: true, .. } => self.world.kill(machine),
+                Health::Leaving { again: true, .. } => self.simulator.kill(machine),
                 _ => {}
             }
         }
         self.recover();
     }
 
-    fn check_led(&mut self, losses: &mut Losses) {
-        let now = self.world.now();
-        let count = losses.count(now, self.world.catch_up);
-        if count > self.world.withstand {
-            losses.bearable_since = None;
+    fn check_led(&mut self, schedule: &mut FailureSchedule) {
+        let now = self.simulator.now();
+        let count = schedule.count(now, self.simulator.recovery_interval);
+        if count > self.simulator.tolerated_failures {
+            schedule.bearable_since = None;
             return;
         }
-        let since = *losses.bearable_since.get_or_insert(now);
+        let since = *schedule.bearable_since.get_or_insert(now);
         if self.leader().is_some() {
-            losses.led_at = now;
+            schedule.led_at = now;
         }
-        let silent = now - since.max(losses.led_at);
+        let silent = now - since.max(schedule.led_at);
         assert!(
             silent <= LED_WITHIN,
             "nobody leads, {count} lost, {:?}: {}",
-            losses.health,
+            schedule.health,
             self.report()
         );
     }
 
     /// Those that have left, or whose time to do so is over.
-    fn see_off(&mut self, losses: &mut Losses) {
-        let now = self.world.now();
-        for machine in 0..losses.health.len() {
-            let Health::Leaving { again, ends } = losses.health[machine] else {
+    fn see_off(&mut self, schedule: &mut FailureSchedule) {
+        let now = self.simulator.now();
+        for machine in 0..schedule.health.len() {
+            let Health::Leaving { again, ends } = schedule.health[machine] else {
                 continue;
             };
             if now < ends
                 && !self
-                    .tree(machine)
-                    .is_some_and(|tree| tree.core().has_left())
+                    .node(machine)
+                    .is_some_and(|node| node.core().has_left())
             {
                 continue;
             }
             if again {
-                self.world.kill(machine);
-                losses.health[machine] = Health::Lost;
-                let back = now + losses.rng.gen_range(50 * MILLI..2 * SECOND);
-                losses.later(back, Due::Back(machine));
+                self.simulator.kill(machine);
+                schedule.health[machine] = Health::Lost;
+                let back = now + schedule.rng.gen_range(50 * MILLI..2 * SECOND);
+                schedule.later(back, Due::Back(machine));
             } else {
                 self.end(machine);
-                losses.health[machine] = Health::Gone;
+                schedule.health[machine] = Health::Gone;
             }
         }
     }
 
-    fn happen(&mut self, losses: &mut Losses, due: Due) {
-        let now = self.world.now();
+    fn happen(&mut self, schedule: &mut FailureSchedule, due: Due) {
+        let now = self.simulator.now();
         match due {
             Due::Back(machine) => {
-                if losses.health[machine] == Health::Gone {
+                if schedule.health[machine] == Health::Gone {
                     return;
                 }
-                for other in 0..self.world.machines() {
-                    self.world.join(machine, other);
-                    self.world.join(other, machine);
+                for other in 0..self.simulator.machines() {
+                    self.simulator.join(machine, other);
+                    self.simulator.join(other, machine);
                 }
-                self.world.set_trouble(machine, Trouble::None);
-                self.world.set_lag(machine, 0);
-                if self.tree(machine).is_none() {
-                    let seeds = losses.seeds(machine, machine);
-                    self.world.set_seeds(machine, seeds);
+                self.simulator.set_disk_fault(machine, DiskFault::None);
+                self.simulator.set_lag(machine, 0);
+                if self.node(machine).is_none() {
+                    let seeds = schedule.seeds(machine, machine);
+                    self.simulator.set_seeds(machine, seeds);
                 }
                 self.start(machine);
                 self.thaw(machine);
-                losses.health[machine] = Health::Up(now);
+                schedule.health[machine] = Health::Up(now);
                 // Links of those that are still cut off stay cut.
                 let cut: Vec<usize> = self
                     .cut_off
@@ -230,33 +230,33 @@
                     .for_each(|cut| self.cut_off(cut, true, true));
             }
             Due::Successor(of) => {
-                self.succeed(losses, of);
+                self.succeed(schedule, of);
             }
         }
     }
 
     fn cut_off(&mut self, machine: usize, deaf: bool, mute: bool) {
         self.cut_off.insert(machine);
-        for other in (0..self.world.machines()).filter(|other| *other != machine) {
+        for other in (0..self.simulator.machines()).filter(|other| *other != machine) {
             if deaf {
-                self.world.cut(other, machine);
+                self.simulator.cut(other, machine);
             }
             if mute {
-                self.world.cut(machine, other);
+                self.simulator.cut(machine, other);
             }
         }
     }
 
     /// A successor starts, with seeds of that moment, and the one that it succeeds among them.
-    fn succeed(&mut self, losses: &mut Losses, of: usize) {
-        if losses.successor.contains_key(&of) {
+    fn succeed(&mut self, schedule: &mut FailureSchedule, of: usize) {
+        if schedule.successor.contains_key(&of) {
             return;
         }
-        let seeds = losses.seeds(self.world.machines(), of);
+        let seeds = schedule.seeds(self.simulator.machines(), of);
         let machine = self.add_with(seeds);
-        losses.health.push(Health::Up(self.world.now()));
-        losses.successor.insert(of, machine);
-        self.tell(Fault::Succeed { of, by: machine });
+        schedule.health.push(Health::Up(self.simulator.now()));
+        schedule.successor.insert(of, machine);
+        self.tell(Fault::Replace { of, by: machine });
         self.cut_off
             .clone()
             .into_iter()
@@ -264,61 +264,61 @@
     }
 
     /// Loses something, if that may be lost now.
-    fn lose(&mut self, losses: &mut Losses) {
-        let (now, catch_up) = (self.world.now(), self.world.catch_up);
-        let machine = losses.rng.gen_range(0..losses.health.len());
-        let count = losses.count(now, catch_up);
-        let room = self.world.withstand.saturating_sub(count);
-        let draw = losses.rng.gen_range(0..1000);
+    fn lose(&mut self, schedule: &mut FailureSchedule) {
+        let (now, recovery_interval) = (self.simulator.now(), self.simulator.recovery_interval);
+        let machine = schedule.rng.gen_range(0..schedule.health.len());
+        let count = schedule.count(now, recovery_interval);
+        let room = self.simulator.tolerated_failures.saturating_sub(count);
+        let draw = schedule.rng.gen_range(0..1000);
         // One that leaves, with its successor standing, would be lost at once and for good: no list bears that.
         let leaves = |health: &Health| matches!(health, Health::Leaving { again: false, .. });
-        if draw < 3 && !losses.health.iter().any(leaves) {
-            return self.lose_all(losses, room);
+        if draw < 3 && !schedule.health.iter().any(leaves) {
+            return self.lose_all(schedule, room);
         }
-        let added = losses.health.len() - self.first_machines();
+        let added = schedule.health.len() - self.first_machines();
         let is_new = |machine: usize| {
-            losses
+            schedule
                 .successor
                 .values()
                 .any(|successor| *successor == machine)
         };
-        match losses.health[machine] {
+        match schedule.health[machine] {
             Health::Gone if room > 0 && added < MOST_ADDED && draw < 30 => {
                 // Back from the dead, as a machine more.
-                if losses.rng.gen() {
+                if schedule.rng.gen() {
                     self.wipe(machine);
                 }
-                let seeds = losses.seeds(machine, machine);
-                self.world.set_seeds(machine, seeds);
+                let seeds = schedule.seeds(machine, machine);
+                self.simulator.set_seeds(machine, seeds);
                 self.revive(machine);
                 // Who took its place is a machine of its own now.
-                losses.successor.remove(&machine);
-                losses.health[machine] = Health::Up(now);
-                return self.tell(Fault::Revive(machine));
+                schedule.successor.remove(&machine);
+                schedule.health[machine] = Health::Up(now);
+                return self.tell(Fault::Return(machine));
             }
             Health::Up(_) => {}
             _ => return,
         }
         // One that counts already may be struck again.
-        let counts = losses.is_lost(machine, now, catch_up);
-        if counts && count > self.world.withstand {
+        let counts = schedule.is_lost(machine, now, recovery_interval);
+        if counts && count > self.simulator.tolerated_failures {
             return;
         }
-        let covered = losses.successor.contains_key(&machine);
+        let covered = schedule.successor.contains_key(&machine);
         if room == 0 && !counts {
             // Its successor stands, so that it may go without counting; but only in order.
             if covered && draw < 300 {
-                self.retire(losses, machine);
+                self.retire(schedule, machine);
             }
             return;
         }
         if counts && !is_new(machine) && draw < 900 {
             return;
         }
-        let back = now + losses.rng.gen_range(50 * MILLI..4 * SECOND);
+        let back = now + schedule.rng.gen_range(50 * MILLI..4 * SECOND);
         let fault = match draw {
             0..200 => {
-                self.world.kill(machine);
+                self.simulator.kill(machine);
                 Fault::Kill(machine)
             }
             200..380 => {
@@ -326,29 +326,29 @@
                 Fault::Wipe(machine)
             }
             380..480 => {
-                self.world.freeze(machine);
-                Fault::Freeze(machine)
+                self.simulator.freeze(machine);
+                Fault::Pause(machine)
             }
             480..600 => {
                 let (deaf, mute) =
-                    [(true, true), (true, false), (false, true)][losses.rng.gen_range(0..3)];
+                    [(true, true), (true, false), (false, true)][schedule.rng.gen_range(0..3)];
                 self.cut_off(machine, deaf, mute);
-                Fault::Deaf(machine)
+                Fault::NoInbound(machine)
             }
             600..660 => {
-                let trouble = [Trouble::Slow, Trouble::Hangs, Trouble::Full];
-                let trouble = *trouble.choose(&mut losses.rng).expect("some");
-                self.world.set_trouble(machine, trouble);
-                Fault::Disk(machine, trouble)
+                let disk_fault = [DiskFault::Slow, DiskFault::Hung, DiskFault::Full];
+                let disk_fault = *disk_fault.choose(&mut schedule.rng).expect("some");
+                self.simulator.set_disk_fault(machine, disk_fault);
+                Fault::Disk(machine, disk_fault)
             }
             660..700 => {
-                self.world
-                    .set_lag(machine, losses.rng.gen_range(MILLI..300 * MILLI));
-                Fault::Lags(machine)
+                self.simulator
+                    .set_lag(machine, schedule.rng.gen_range(MILLI..300 * MILLI));
+                Fault::Slow(machine)
             }
             700..760 => {
                 self.call(machine, Call::Leave);
-                losses.health[machine] = Health::Leaving {
+                schedule.health[machine] = Health::Leaving {
                     again: true,
                     ends: now + GRACE,
                 };
@@ -356,57 +356,57 @@
             }
             760..880 if added < MOST_ADDED && !covered => {
                 // A successor comes first, or after, or long after.
-                if losses.rng.gen() {
-                    return self.succeed(losses, machine);
+                if schedule.rng.gen() {
+                    return self.succeed(schedule, machine);
                 }
-                let wait = losses.rng.gen_range(0..3 * SECOND);
-                losses.later(now + wait, Due::Successor(machine));
-                return self.retire(losses, machine);
+                let wait = schedule.rng.gen_range(0..3 * SECOND);
+                schedule.later(now + wait, Due::Successor(machine));
+                return self.retire(schedule, machine);
             }
             880..960 if added < MOST_ADDED && !covered => {
                 // Lost for good, and not in order.
                 self.end(machine);
-                losses.health[machine] = Health::Gone;
-                let wait = losses.rng.gen_range(0..3 * SECOND);
-                losses.later(now + wait, Due::Successor(machine));
-                return self.tell(Fault::Gone(machine));
+                schedule.health[machine] = Health::Gone;
+                let wait = schedule.rng.gen_range(0..3 * SECOND);
+                schedule.later(now + wait, Due::Successor(machine));
+                return self.tell(Fault::Lost(machine));
             }
             _ => return,
         };
         self.tell(fault);
-        losses.health[machine] = Health::Lost;
-        losses.later(back, Due::Back(machine));
+        schedule.health[machine] = Health::Lost;
+        schedule.later(back, Due::Back(machine));
     }
 
-    fn retire(&mut self, losses: &mut Losses, machine: usize) {
+    fn retire(&mut self, schedule: &mut FailureSchedule, machine: usize) {
         self.call(machine, Call::Leave);
-        let ends = self.world.now() + GRACE;
-        losses.health[machine] = Health::Leaving { again: false, ends };
-        self.tell(Fault::Retire(machine));
+        let ends = self.simulator.now() + GRACE;
+        schedule.health[machine] = Health::Leaving { again: false, ends };
+        self.tell(Fault::Decommission(machine));
     }
 
     /// All processes end at once, or all power goes; as many as may still be lost lose their disks.
-    fn lose_all(&mut self, losses: &mut Losses, room: usize) {
-        let now = self.world.now();
+    fn lose_all(&mut self, schedule: &mut FailureSchedule, room: usize) {
+        let now = self.simulator.now();
         let mut room = room;
-        for machine in 0..losses.health.len() {
-            match losses.health[machine] {
+        for machine in 0..schedule.health.len() {
+            match schedule.health[machine] {
                 Health::Gone => continue,
-                Health::Up(_) if room > 0 && losses.rng.gen_ratio(1, 3) => {
+                Health::Up(_) if room > 0 && schedule.rng.gen_ratio(1, 3) => {
                     room -= 1;
                     self.wipe(machine);
                     self.tell(Fault::Wipe(machine));
                 }
-                _ => self.world.kill(machine),
+                _ => self.simulator.kill(machine),
             }
-            if let Health::Leaving { again: false, .. } = losses.health[machine] {
+            if let Health::Leaving { again: false, .. } = schedule.health[machine] {
                 self.end(machine);
-                losses.health[machine] = Health::Gone;
+                schedule.health[machine] = Health::Gone;
                 continue;
             }
-            losses.health[machine] = Health::Lost;
-            let back = now + losses.rng.gen_range(50 * MILLI..SECOND);
-            losses.later(back, Due::Back(machine));
+            schedule.health[machine] = Health::Lost;
+            let back = now + schedule.rng.gen_range(50 * MILLI..SECOND);
+            schedule.later(back, Due::Back(machine));
         }
         self.tell(Fault::KillAll);
     }
--- a/tools/raft-simulation/src/cluster.rs
+++ b/tools/raft-simulation/src/cluster.rs
@@ -2,12 +2,12 @@
 
 use crate::fault_injection::RECOVERY;
 use crate::{
-    address, Boot, Chaos, Effect, Fault, Input, Micros, Net, Node, Trouble, Watch, World, MILLI,
-    SECOND,
+    address, BootOptions, DiskFault, Effect, Fault, FaultInjector, Input, Micros, NetworkProfile,
+    Observer, Process, Simulator, MILLI, SECOND,
 };
 use magpieline_raft::{
-    Action, Batch, Core, Envelope, Event, Index, Message, Outcome, Payload, Role, Seat, Start,
-    Stored, Term,
+    Action, Config, Envelope, Event, Index, Message, NodeId, Outcome, Payload, PersistentState,
+    RaftNode, Role, Term, WriteBatch,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,8 +15,8 @@
 use std::net::SocketAddrV4;
 
 /// A core with its state machine, which keeps the numbers of all commands applied.
-pub struct Tree {
-    core: Core,
+pub struct SimulatedNode {
+    core: RaftNode,
     applied: Vec<u64>,
     /// The last command's place in the log, and the commands since the last snapshot.
     index: Index,
@@ -25,13 +25,13 @@
 
 /// What is asked of a tree.
 pub enum Call {
-    /// The command's number is its ticket; `size` bytes are added.
+    /// The command's number is its request_id; `size` bytes are added.
     Propose {
-        ticket: u64,
+        request_id: u64,
         size: usize,
     },
     Read {
-        ticket: u64,
+        request_id: u64,
     },
     GiveWay,
     /// SIGTERM.
@@ -39,7 +39,7 @@
 }
 
 /// What a tree did.
-pub enum Note {
+pub enum Observation {
     /// The command applied, as the how-many-eth.
     Applied {
         place: usize,
@@ -50,7 +50,7 @@
     },
     /// After so many commands were applied.
     Done {
-        ticket: u64,
+        request_id: u64,
         outcome: Outcome,
         applied: usize,
     },
@@ -60,8 +60,8 @@
 const COMPACT_AFTER: u64 = 40;
 const BALLAST: usize = 150_000;
 
-impl Tree {
-    pub fn core(&self) -> &Core {
+impl SimulatedNode {
+    pub fn core(&self) -> &RaftNode {
         &self.core
     }
 
@@ -70,7 +70,7 @@
         &self.applied
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, effects: &mut Vec<Effect<Tree>>) {
+    fn carry_out(&mut self, actions: Vec<Action>, effects: &mut Vec<Effect<SimulatedNode>>) {
         for action in actions {
             effects.push(match action {
                 Action::Send(envelope) => Effect::Send {
@@ -90,7 +90,7 @@
                     self.applied.push(number);
                     self.index = index;
                     self.since += 1;
-                    Effect::Note(Note::Applied {
+                    Effect::Observation(Observation::Applied {
                         place: self.applied.len() - 1,
                         command: number,
                     })
@@ -105,12 +105,15 @@
                         .collect();
                     self.index = index;
                     self.since = 0;
-                    Effect::Note(Note::Restored {
+                    Effect::Observation(Observation::Restored {
                         commands: self.applied.clone(),
                     })
                 }
-                Action::Done { ticket, outcome } => Effect::Note(Note::Done {
-                    ticket,
+                Action::Complete {
+                    request_id,
+                    outcome,
+                } => Effect::Observation(Observation::Done {
+                    request_id,
                     outcome,
                     applied: self.applied.len(),
                 }),
@@ -135,62 +138,69 @@
     }
 }
 
-impl Node for Tree {
+impl Process for SimulatedNode {
     type Message = Envelope;
-    type Write = Batch;
-    type Disk = Stored;
+    type Write = WriteBatch;
+    type Disk = PersistentState;
     type Call = Call;
-    type Note = Note;
-
-    fn start(boot: &Boot, now: Micros, disk: &Stored) -> (Tree, Vec<Effect<Tree>>) {
-        let Boot {
-            me,
+    type Observation = Observation;
+
+    fn start(
+        boot: &BootOptions,
+        now: Micros,
+        disk: &PersistentState,
+    ) -> (SimulatedNode, Vec<Effect<SimulatedNode>>) {
+        let BootOptions {
+            address,
             seeds,
             first_run,
             seed,
-            withstand,
-            catch_up,
+            tolerated_failures,
+            recovery_interval,
             ..
         } = boot.clone();
-        let start = Start {
-            me,
+        let start = Config {
+            address,
             seeds,
             first_run,
             seed,
-            withstand,
-            catch_up,
+            tolerated_failures,
+            recovery_interval,
         };
-        let (core, actions) = Core::start(now, start, disk.clone());
-        let mut tree = Tree {
+        let (core, actions) = RaftNode::start(now, start, disk.clone());
+        let mut node = SimulatedNode {
             core,
             applied: Vec::new(),
             index: 0,
             since: 0,
         };
         let mut effects = Vec::new();
-        tree.carry_out(actions, &mut effects);
-        (tree, effects)
+        node.carry_out(actions, &mut effects);
+        (node, effects)
     }
 
-    fn step(&mut self, now: Micros, input: Input<Tree>) -> Vec<Effect<Tree>> {
+    fn step(&mut self, now: Micros, input: Input<SimulatedNode>) -> Vec<Effect<SimulatedNode>> {
         let event = match input {
             Input::Tick => Event::Tick,
             Input::Message(envelope) => Event::Receive(envelope),
-            Input::Synced(serial) => Event::Synced { serial },
-            Input::Refused(serial) => Event::Refused { serial },
-            Input::Call(Call::Propose { ticket, size }) => {
-                let mut command = ticket.to_le_bytes().to_vec();
+            Input::Synced(serial) => Event::Persisted { serial },
+            Input::Refused(serial) => Event::WriteFailed { serial },
+            Input::Call(Call::Propose { request_id, size }) => {
+                let mut command = request_id.to_le_bytes().to_vec();
                 command.resize(8 + size, 0);
-                Event::Propose { ticket, command }
+                Event::Propose {
+                    request_id,
+                    command,
+                }
             }
-            Input::Call(Call::Read { ticket }) => Event::Read { ticket },
-            Input::Call(Call::GiveWay) => Event::GiveWay,
+            Input::Call(Call::Read { request_id }) => Event::Read { request_id },
+            Input::Call(Call::GiveWay) => Event::StepDown,
             Input::Call(Call::Leave) => Event::Leave,
         };
         let mut effects = Vec::new();
         let actions = self.core.step(now, event);
         self.carry_out(actions, &mut effects);
-        if self.since >= COMPACT_AFTER || self.core.wants_compact() {
+        if self.since >= COMPACT_AFTER || self.core.should_compact() {
             self.since = 0;
             let event = Event::Compact {
                 index: self.index,
@@ -206,7 +216,7 @@
         Some(self.core.next_wake())
     }
 
-    fn put(disk: &mut Stored, write: Batch) {
+    fn put(disk: &mut PersistentState, write: WriteBatch) {
         write.apply(disk);
     }
 }
@@ -214,24 +224,24 @@
 /// What must hold whatever breaks.
 #[derive(Default)]
 struct Checks {
-    leaders: BTreeMap<Term, Seat>,
+    leaders: BTreeMap<Term, NodeId>,
     /// All commands in force, in order: every machine applies a beginning of it.
     commands: Vec<u64>,
     places: HashMap<u64, usize>,
     /// So many of them are acknowledged, or before one that is.
     acknowledged: usize,
-    /// By ticket, what was acknowledged when the read was asked.
+    /// By request_id, what was acknowledged when the read was asked.
     reads: HashMap<u64, usize>,
-    votes: HashMap<(Seat, Term), Seat>,
+    votes: HashMap<(NodeId, Term), NodeId>,
     /// Seats that stood on a list of voters some machine had.
-    listed: BTreeSet<Seat>,
+    listed: BTreeSet<NodeId>,
     /// Seats whose disk is gone.
-    retired: BTreeSet<Seat>,
+    retired: BTreeSet<NodeId>,
     outcomes: BTreeMap<u64, Outcome>,
 }
 
-impl Watch<Tree> for Checks {
-    fn sent(&mut self, machine: usize, disk: &Stored, envelope: &Envelope) {
+impl Observer<SimulatedNode> for Checks {
+    fn sent(&mut self, machine: usize, disk: &PersistentState, envelope: &Envelope) {
         let Envelope {
             from,
             to,
@@ -242,77 +252,77 @@
             !self.retired.contains(from),
             "machine {machine} speaks as {from:?}, whose disk is gone"
         );
-        let hard = disk
-            .hard
+        let hard_state = disk
+            .hard_state
             .unwrap_or_else(|| panic!("machine {machine} spoke before it wrote: {message:?}"));
         assert!(
-            hard.life == from.life && hard.term >= *term,
-            "machine {machine} sent {message:?} in term {term}, its disk has {hard:?}"
+            hard_state.incarnation == from.incarnation && hard_state.term >= *term,
+            "machine {machine} sent {message:?} in term {term}, its disk has {hard_state:?}"
         );
         let vote = match message {
-            Message::Vote { .. } => Some(from),
-            Message::VoteReply { granted: true } => Some(to),
+            Message::VoteRequest { .. } => Some(from),
+            Message::VoteResponse { granted: true } => Some(to),
             _ => None,
         };
         if let Some(vote) = vote {
-            let kept = hard.term > *term || hard.vote == Some(*vote);
+            let kept = hard_state.term > *term || hard_state.vote == Some(*vote);
             assert!(
                 kept,
-                "machine {machine} voted {vote:?} in {term}, its disk has {hard:?}"
+                "machine {machine} voted {vote:?} in {term}, its disk has {hard_state:?}"
             );
             let first = *self.votes.entry((*from, *term)).or_insert(*vote);
             assert_eq!(first, *vote, "{from:?} voted twice in term {term}");
             assert!(self.listed.contains(from), "{from:?} votes and is no voter");
         }
-        if let Message::AppendReply { matched, .. } = message {
+        if let Message::AppendResponse { match_index, .. } = message {
             let covered = disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
             let last = disk.entries.last().map_or(covered, |entry| entry.index);
             assert!(
-                last >= *matched,
-                "machine {machine} says it has {matched}, its disk ends at {last}"
+                last >= *match_index,
+                "machine {machine} says it has {match_index}, its disk ends at {last}"
             );
         }
     }
 
-    fn noted(&mut self, machine: usize, note: Note) {
+    fn observed(&mut self, machine: usize, note: Observation) {
         match note {
-            Note::Applied { place, command } => self.check_command(machine, place, command),
-            Note::Restored { commands } => {
+            Observation::Applied { place, command } => self.check_command(machine, place, command),
+            Observation::Restored { commands } => {
                 for (place, command) in commands.into_iter().enumerate() {
                     self.check_command(machine, place, command);
                 }
             }
-            Note::Done {
-                ticket,
+            Observation::Done {
+                request_id,
                 outcome,
                 applied,
             } => {
-                self.outcomes.insert(ticket, outcome);
+                self.outcomes.insert(request_id, outcome);
                 if !matches!(outcome, Outcome::Committed { .. }) {
                     return;
                 }
-                if let Some(floor) = self.reads.get(&ticket) {
+                if let Some(floor) = self.reads.get(&request_id) {
                     assert!(
                         applied >= *floor,
-                        "read {ticket} at machine {machine}: {applied} of {floor}"
+                        "read {request_id} at machine {machine}: {applied} of {floor}"
                     );
                 } else {
-                    let place = self.places.get(&ticket);
-                    let place =
-                        place.unwrap_or_else(|| panic!("{ticket} acknowledged and not applied"));
+                    let place = self.places.get(&request_id);
+                    let place = place
+                        .unwrap_or_else(|| panic!("{request_id} acknowledged and not applied"));
                     self.acknowledged = self.acknowledged.max(place + 1);
                 }
             }
         }
     }
 
-    fn stepped(&mut self, machine: usize, tree: &Tree) {
-        let core = tree.core();
+    fn after_step(&mut self, machine: usize, node: &SimulatedNode) {
+        let core = node.core();
         if core.role() == Role::Leader {
-            let first = *self.leaders.entry(core.term()).or_insert(core.me());
+            let first = *self.leaders.entry(core.term()).or_insert(core.id());
             assert_eq!(
                 first,
-                core.me(),
+                core.id(),
                 "two leaders in term {}, one is machine {machine}",
                 core.term()
             );
@@ -350,16 +360,16 @@
 
 /// How a grove is set up.
 #[derive(Clone, Copy, Debug)]
-pub struct Planting {
+pub struct ClusterConfig {
     pub seed: u64,
     /// Machines at the first start; the first three are the seeds and founders.
     pub machines: usize,
-    pub net: Net,
+    pub net: NetworkProfile,
 }
 
 /// What happened in a run, for who wants to see that it was one.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Played {
+pub struct RunTotals {
     pub steps: u64,
     pub seconds: u64,
     pub messages: u64,
@@ -370,8 +380,8 @@
     pub wipes: u64,
 }
 
-impl Played {
-    pub fn add(&mut self, other: &Played) {
+impl RunTotals {
+    pub fn add(&mut self, other: &RunTotals) {
         self.steps += other.steps;
         self.seconds += other.seconds;
         self.messages += other.messages;
@@ -384,14 +394,14 @@
 }
 
 /// Machines that agree, and what they have agreed on.
-pub struct Grove {
-    pub world: World<Tree>,
+pub struct Cluster {
+    pub simulator: Simulator<SimulatedNode>,
     checks: Checks,
     rng: ChaCha8Rng,
-    tickets: u64,
+    request_ids: u64,
     machines: usize,
     /// The faults so far, for who reads a failure.
-    story: Vec<(Micros, Fault)>,
+    fault_log: Vec<(Micros, Fault)>,
     /// All are killed right after the next acknowledgement.
     armed: bool,
     /// Machines that are gone for good.
@@ -407,78 +417,82 @@
 /// Machines added in a run at most.
 const MOST_ADDED: usize = 2;
 
-impl Grove {
+impl Cluster {
     /// Starts all machines for the first time; fewer than half may be lost at once, and catch up in four seconds.
-    pub fn plant(planting: Planting) -> Grove {
-        let withstand = (planting.machines - 1) / 2;
-        Grove::plant_for(planting, withstand, 4 * SECOND)
+    pub fn new(planting: ClusterConfig) -> Cluster {
+        let tolerated_failures = (planting.machines - 1) / 2;
+        Cluster::with_tolerance(planting, tolerated_failures, 4 * SECOND)
     }
 
     /// Starts all machines for the first time. So many may be lost at once, and the next so long after they are back.
-    pub fn plant_for(planting: Planting, withstand: usize, catch_up: Micros) -> Grove {
-        let Planting {
+    pub fn with_tolerance(
+        planting: ClusterConfig,
+        tolerated_failures: usize,
+        recovery_interval: Micros,
+    ) -> Cluster {
+        let ClusterConfig {
             seed,
             machines,
             net,
         } = planting;
-        let mut grove = Grove {
-            world: World::new(seed, net),
+        let mut cluster = Cluster {
+            simulator: Simulator::new(seed, net),
             checks: Checks::default(),
             rng: ChaCha8Rng::seed_from_u64(seed ^ 0x960e),
-            tickets: 0,
+            request_ids: 0,
             machines,
-            story: Vec::new(),
+            fault_log: Vec::new(),
             armed: false,
             gone: BTreeSet::new(),
             cut_off: BTreeSet::new(),
         };
-        grove.world.withstand = withstand;
-        grove.world.catch_up = catch_up;
+        cluster.simulator.tolerated_failures = tolerated_failures;
+        cluster.simulator.recovery_interval = recovery_interval;
         let seeds: Vec<_> = (0..machines.min(SEEDS)).map(address).collect();
         for _ in 0..machines {
-            let machine = grove.world.add(seeds.clone(), true);
-            grove.start(machine);
+            let machine = cluster.simulator.add(seeds.clone(), true);
+            cluster.start(machine);
         }
-        grove
+        cluster
     }
 
     pub fn start(&mut self, machine: usize) {
-        self.world.start(machine, &mut self.checks);
+        self.simulator.start(machine, &mut self.checks);
     }
 
     pub fn thaw(&mut self, machine: usize) {
-        self.world.thaw(machine, &mut self.checks);
+        self.simulator.thaw(machine, &mut self.checks);
     }
 
     /// The machine loses its disk, and its power. Its settings name machines that may be gone.
     pub fn wipe(&mut self, machine: usize) {
-        if let Some(seat) = self.seat(machine) {
-            self.checks.retired.insert(seat);
+        if let Some(node_id) = self.node_id(machine) {
+            self.checks.retired.insert(node_id);
         }
-        self.world.wipe(machine);
+        self.simulator.wipe(machine);
         // As at the first start, its own address among them, or old ones.
         let serves = |seed: &SocketAddrV4| {
-            let machines = (0..self.world.machines()).filter(|other| address(*other) == *seed);
+            let machines = (0..self.simulator.machines()).filter(|other| address(*other) == *seed);
             machines
                 .into_iter()
                 .any(|other| other != machine && self.knows_core(other))
         };
-        let names_one = self.world.boot(machine).seeds.iter().any(serves);
+        let names_one = self.simulator.boot(machine).seeds.iter().any(serves);
         if self.rng.gen() || !names_one {
             let seeds = self.stale_seeds(machine);
-            self.world.set_seeds(machine, seeds);
+            self.simulator.set_seeds(machine, seeds);
         }
     }
 
     /// An empty machine is added and started, with old seeds.
     pub fn add(&mut self) -> usize {
-        let seeds = self.stale_seeds(self.world.machines());
+        let seeds = self.stale_seeds(self.simulator.machines());
         self.add_with(seeds)
     }
 
     /// An empty machine is added and started.
     pub fn add_with(&mut self, seeds: Vec<SocketAddrV4>) -> usize {
-        let machine = self.world.add(seeds, false);
+        let machine = self.simulator.add(seeds, false);
         self.start(machine);
         machine
     }
@@ -486,7 +500,7 @@
     /// One that is there, two that are not. The operator's list has machines that serve: one that knows no core yet
     /// stands on it only if there is no other.
     fn stale_seeds(&mut self, machine: usize) -> Vec<SocketAddrV4> {
-        let known: Vec<usize> = (0..self.world.machines())
+        let known: Vec<usize> = (0..self.simulator.machines())
             .filter(|other| *other != machine && self.knows_core(*other))
             .collect();
         let there = match known.len() {
@@ -497,62 +511,63 @@
     }
 
     fn knows_core(&self, machine: usize) -> bool {
-        self.tree(machine)
-            .is_some_and(|tree| !tree.core.voters().is_empty())
+        self.node(machine)
+            .is_some_and(|node| !node.core.voters().is_empty())
     }
 
-    pub fn tree(&self, machine: usize) -> Option<&Tree> {
-        self.world.node(machine)
+    pub fn node(&self, machine: usize) -> Option<&SimulatedNode> {
+        self.simulator.node(machine)
     }
 
-    fn seat(&self, machine: usize) -> Option<Seat> {
-        let life = self.world.disk(machine).hard?.life;
-        Some(Seat {
+    fn node_id(&self, machine: usize) -> Option<NodeId> {
+        let incarnation = self.simulator.disk(machine).hard_state?.incarnation;
+        Some(NodeId {
             address: address(machine),
-            life,
+            incarnation,
         })
     }
 
     /// The machine that leads now by its own word, with a majority behind it.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.world.machines()).find(|machine| {
-            let leads = |tree: &Tree| tree.core().leads(self.world.clock(*machine));
-            !self.world.is_frozen(*machine) && self.tree(*machine).is_some_and(leads)
+        (0..self.simulator.machines()).find(|machine| {
+            let leads =
+                |node: &SimulatedNode| node.core().holds_lease(self.simulator.clock(*machine));
+            !self.simulator.is_frozen(*machine) && self.node(*machine).is_some_and(leads)
         })
     }
 
-    /// As many machines vote as bear the losses promised, an odd number of them; all others that run wait for a seat, and
+    /// As many machines vote as bear the losses promised, an odd number of them; all others that run wait for a node_id, and
     /// all have applied all. Where machines are missing, all that run vote, but one of an even number.
-    pub fn is_whole(&self) -> bool {
-        let Some(leader) = self.leader().and_then(|leader| self.tree(leader)) else {
+    pub fn has_recovered(&self) -> bool {
+        let Some(leader) = self.leader().and_then(|leader| self.node(leader)) else {
             return false;
         };
         let (voters, learners) = (leader.core.voters(), leader.core.learners());
-        let trees: Vec<&Tree> = (0..self.world.machines())
-            .filter_map(|machine| self.tree(machine))
+        let nodes: Vec<&SimulatedNode> = (0..self.simulator.machines())
+            .filter_map(|machine| self.node(machine))
             .collect();
-        let waiting = trees
+        let waiting = nodes
             .iter()
-            .filter(|tree| learners.contains(&tree.core.me()))
+            .filter(|node| learners.contains(&node.core.id()))
             .count();
-        let votes = trees
+        let votes = nodes
             .iter()
-            .filter(|tree| voters.contains(&tree.core.me()))
+            .filter(|node| voters.contains(&node.core.id()))
             .count();
-        let wanted = 2 * self.world.withstand + 1;
-        let enough = if trees.len() >= wanted {
+        let wanted = 2 * self.simulator.tolerated_failures + 1;
+        let enough = if nodes.len() >= wanted {
             wanted
         } else {
-            (trees.len() - 1) / 2 * 2 + 1
+            (nodes.len() - 1) / 2 * 2 + 1
         };
-        leader.core.voters_before().is_none()
+        leader.core.previous_voters().is_none()
             && voters.len() % 2 == 1
             && voters.len() <= wanted
             && votes >= enough
-            && votes + waiting == trees.len()
-            && trees
+            && votes + waiting == nodes.len()
+            && nodes
                 .iter()
-                .all(|tree| tree.applied.len() == leader.applied.len())
+                .all(|node| node.applied.len() == leader.applied.len())
     }
 
     /// How many commands are acknowledged, or before one that is.
@@ -561,8 +576,8 @@
     }
 
     /// What came of a call.
-    pub fn outcome(&self, ticket: u64) -> Option<Outcome> {
-        self.checks.outcomes.get(&ticket).copied()
+    pub fn outcome(&self, request_id: u64) -> Option<Outcome> {
+        self.checks.outcomes.get(&request_id).copied()
     }
 
     /// Terms in which somebody led.
@@ -571,40 +586,41 @@
     }
 
     pub fn propose(&mut self, machine: usize, size: usize) -> u64 {
-        self.tickets += 1;
+        self.request_ids += 1;
         let call = Call::Propose {
-            ticket: self.tickets,
+            request_id: self.request_ids,
             size,
         };
-        self.world.call(machine, call, &mut self.checks);
-        self.tickets
+        self.simulator.call(machine, call, &mut self.checks);
+        self.request_ids
     }
 
     pub fn read(&mut self, machine: usize) -> u64 {
-        self.tickets += 1;
+        self.request_ids += 1;
         self.checks
             .reads
-            .insert(self.tickets, self.checks.acknowledged);
-        self.world.call(
+            .insert(self.request_ids, self.checks.acknowledged);
+        self.simulator.call(
             machine,
             Call::Read {
-                ticket: self.tickets,
+                request_id: self.request_ids,
             },
             &mut self.checks,
         );
-        self.tickets
+        self.request_ids
     }
 
     pub fn give_way(&mut self, machine: usize) {
-        self.world.call(machine, Call::GiveWay, &mut self.checks);
+        self.simulator
+            .call(machine, Call::GiveWay, &mut self.checks);
     }
 
     pub(crate) fn step(&mut self) {
-        self.world.step(&mut self.checks);
+        self.simulator.step(&mut self.checks);
     }
 
     pub(crate) fn call(&mut self, machine: usize, call: Call) {
-        self.world.call(machine, call, &mut self.checks);
+        self.simulator.call(machine, call, &mut self.checks);
     }
 
     pub(crate) fn first_machines(&self) -> usize {
@@ -612,12 +628,12 @@
     }
 
     pub(crate) fn tell(&mut self, fault: Fault) {
-        self.story.push((self.world.now(), fault));
+        self.fault_log.push((self.simulator.now(), fault));
     }
 
     /// The machine is gone for good; its disk stays as it is.
     pub fn end(&mut self, machine: usize) {
-        self.world.kill(machine);
+        self.simulator.kill(machine);
         self.gone.insert(machine);
     }
 
@@ -630,29 +646,31 @@
     /// SIGTERM: the machine hands on what it has and ends, or is ended after [`GRACE`]. It is then gone, and its disk stays
     /// as it is.
     pub fn leave(&mut self, machine: usize) {
-        self.world.call(machine, Call::Leave, &mut self.checks);
-        let end = self.world.now() + GRACE;
-        self.run_until(end, |grove| {
-            grove.tree(machine).is_none_or(|tree| tree.core.has_left())
+        self.simulator.call(machine, Call::Leave, &mut self.checks);
+        let end = self.simulator.now() + GRACE;
+        self.run_until(end, |cluster| {
+            cluster
+                .node(machine)
+                .is_none_or(|node| node.core.has_left())
         });
         self.end(machine);
     }
 
     pub fn run_for(&mut self, span: Micros) {
-        let end = self.world.now() + span;
+        let end = self.simulator.now() + span;
         self.run_until(end, |_| false);
     }
 
     /// Until the condition holds, looked at after every step; false if it has not by `end`.
-    pub fn run_until(&mut self, end: Micros, holds: impl Fn(&Grove) -> bool) -> bool {
+    pub fn run_until(&mut self, end: Micros, holds: impl Fn(&Cluster) -> bool) -> bool {
         loop {
             if holds(self) {
                 return true;
             }
-            match self.world.next_at() {
-                Some(at) if at <= end => self.world.step(&mut self.checks),
+            match self.simulator.next_at() {
+                Some(at) if at <= end => self.simulator.step(&mut self.checks),
                 _ => {
-                    self.world.pass(end);
+                    self.simulator.pass(end);
                     return holds(self);
                 }
             }
@@ -660,99 +678,108 @@
     }
 
     /// Whether the rules of losses allow that this machine's disk goes, too: of no list of voters that any other machine
-    /// goes by, or that is on its way to one, is half or more gone, nor more than `withstand`.
+    /// goes by, or that is on its way to one, is half or more gone, nor more than `tolerated_failures`.
     fn may_wipe(&self, machine: usize) -> bool {
-        let Some(seat) = self.seat(machine) else {
+        let Some(node_id) = self.node_id(machine) else {
             return false;
         };
-        let enough = |voters: &[Seat]| {
+        let enough = |voters: &[NodeId]| {
             let gone = voters
                 .iter()
-                .filter(|voter| **voter == seat || self.checks.retired.contains(*voter));
+                .filter(|voter| **voter == node_id || self.checks.retired.contains(*voter));
             let gone: BTreeSet<_> = gone.map(|voter| voter.address).collect();
             let all: BTreeSet<_> = voters.iter().map(|voter| voter.address).collect();
             // More than is to be borne at once is so much less to be borne by the list that is left.
-            2 * gone.len() < all.len().min(2 * self.world.withstand + 1).max(1)
+            2 * gone.len()
+                < all
+                    .len()
+                    .min(2 * self.simulator.tolerated_failures + 1)
+                    .max(1)
         };
         let on_the_way = self
-            .world
+            .simulator
             .under_way()
             .all(|envelope| match &envelope.message {
-                Message::Append { entries, .. } => {
+                Message::AppendEntries { entries, .. } => {
                     entries.iter().all(|entry| match &entry.payload {
-                        Payload::Members(members) => enough(&members.voters),
-                        Payload::Noop | Payload::Command { .. } | Payload::JointEnd => true,
+                        Payload::Voters(voters) => enough(&voters.voters),
+                        Payload::Noop | Payload::Command { .. } | Payload::LeaveJoint => true,
                     })
                 }
-                Message::Fill { members, .. } => enough(&members.voters),
+                Message::InstallSnapshot { voters, .. } => enough(&voters.voters),
                 _ => true,
             });
         on_the_way
-            && (0..self.world.machines())
+            && (0..self.simulator.machines())
                 .filter(|other| *other != machine)
                 .all(|other| {
                     // By what it knows, and by what it would know after a loss of power.
-                    let rebooted = Tree::start(self.world.boot(other), 0, self.world.disk(other)).0;
-                    let fits = |tree: &Tree| {
+                    let rebooted = SimulatedNode::start(
+                        self.simulator.boot(other),
+                        0,
+                        self.simulator.disk(other),
+                    )
+                    .0;
+                    let fits = |node: &SimulatedNode| {
                         // Any of those being filled may be on the list before its loss is noticed.
-                        let voters = tree.core.voters();
-                        let soon = tree
+                        let voters = node.core.voters();
+                        let soon = node
                             .core
                             .learners()
                             .into_iter()
-                            .map(|seat| [voters, &[seat]].concat());
-                        let before = tree.core.voters_before();
+                            .map(|node_id| [voters, &[node_id]].concat());
+                        let before = node.core.previous_voters();
                         enough(voters)
                             && soon.into_iter().all(|list| enough(&list))
                             && before.is_none_or(enough)
                     };
-                    self.tree(other).is_none_or(fits) && fits(&rebooted)
+                    self.node(other).is_none_or(fits) && fits(&rebooted)
                 })
     }
 
     /// Breaks and mends things for so many steps, with clients calling, then mends all and looks whether everything that
     /// was acknowledged is there and the machines are whole again. Panics if not.
-    pub fn endure(&mut self, seed: u64, steps: u64) {
-        let calm = self.world.net;
+    pub fn run_with_random_faults(&mut self, seed: u64, steps: u64) {
+        let calm = self.simulator.net;
         let pause = [500 * MILLI, 2 * SECOND, 8 * SECOND][(seed % 3) as usize];
-        let mut chaos = Chaos::new(seed, SECOND / 2, pause, calm);
+        let mut injector = FaultInjector::new(seed, SECOND / 2, pause, calm);
         let mut call_at = 0;
         let mut seen = 0;
-        while self.world.steps() < steps {
+        while self.simulator.steps() < steps {
             if self.acknowledged() > seen {
                 seen = self.acknowledged();
-                self.strike(&mut chaos);
+                self.strike(&mut injector);
             }
-            let next = chaos.next_at().min(call_at);
-            if self.world.next_at().is_some_and(|at| at <= next) {
-                self.world.step(&mut self.checks);
+            let next = injector.next_at().min(call_at);
+            if self.simulator.next_at().is_some_and(|at| at <= next) {
+                self.simulator.step(&mut self.checks);
                 continue;
             }
-            self.world.pass(next);
-            if let Some(fault) = chaos.act(&mut self.world, &mut self.checks) {
-                self.suffer(&mut chaos, fault);
+            self.simulator.pass(next);
+            if let Some(fault) = injector.act(&mut self.simulator, &mut self.checks) {
+                self.apply_fault(&mut injector, fault);
             }
-            if self.world.now() >= call_at {
-                call_at = self.world.now() + self.rng.gen_range(MILLI..100 * MILLI);
+            if self.simulator.now() >= call_at {
+                call_at = self.simulator.now() + self.rng.gen_range(MILLI..100 * MILLI);
                 self.call_by_chance();
             }
         }
-        chaos.end(&mut self.world, &mut self.checks);
+        injector.end(&mut self.simulator, &mut self.checks);
         self.recover();
     }
 
     /// What waits for an acknowledgement to come right after it: one disk is lost, if the rules allow it, and all processes
     /// end or all power goes.
-    fn strike(&mut self, chaos: &mut Chaos) {
+    fn strike(&mut self, injector: &mut FaultInjector) {
         if std::mem::take(&mut self.armed) {
-            let machine = self.rng.gen_range(0..self.world.machines());
-            self.suffer(chaos, Fault::Wipe(machine));
-            self.story.push((self.world.now(), Fault::KillAll));
-            chaos.break_it(&mut self.world, Fault::KillAll);
+            let machine = self.rng.gen_range(0..self.simulator.machines());
+            self.apply_fault(injector, Fault::Wipe(machine));
+            self.fault_log.push((self.simulator.now(), Fault::KillAll));
+            injector.inject(&mut self.simulator, Fault::KillAll);
         }
     }
 
-    fn suffer(&mut self, chaos: &mut Chaos, fault: Fault) {
+    fn apply_fault(&mut self, injector: &mut FaultInjector, fault: Fault) {
         match fault {
             Fault::Wipe(machine) if !self.may_wipe(machine) => return,
             Fault::Wipe(machine) => self.wipe(machine),
@@ -760,18 +787,18 @@
                 self.armed = true;
                 return;
             }
-            Fault::Add if self.world.machines() >= self.machines + MOST_ADDED => return,
-            Fault::Add => {
+            Fault::AddNode if self.simulator.machines() >= self.machines + MOST_ADDED => return,
+            Fault::AddNode => {
                 self.add();
             }
             _ => {}
         }
-        self.story.push((self.world.now(), fault));
-        chaos.break_it(&mut self.world, fault);
+        self.fault_log.push((self.simulator.now(), fault));
+        injector.inject(&mut self.simulator, fault);
     }
 
     pub(crate) fn call_by_chance(&mut self) {
-        let anyone = self.rng.gen_range(0..self.world.machines());
+        let anyone = self.rng.gen_range(0..self.simulator.machines());
         let machine = if self.rng.gen_ratio(1, 5) {
             anyone
         } else {
@@ -788,9 +815,9 @@
             }
             70..=98 => {
                 // All that think they lead are asked: one of them may be of the past.
-                let leads = |tree: &Tree| tree.core().role() == Role::Leader;
-                let asked: Vec<usize> = (0..self.world.machines())
-                    .filter(|other| *other == machine || self.tree(*other).is_some_and(leads))
+                let leads = |node: &SimulatedNode| node.core().role() == Role::Leader;
+                let asked: Vec<usize> = (0..self.simulator.machines())
+                    .filter(|other| *other == machine || self.node(*other).is_some_and(leads))
                     .collect();
                 for machine in asked {
                     self.read(machine);
@@ -802,17 +829,17 @@
 
     /// After all is mended: a leader, every machine a voter, everything acknowledged read back, and then quiet.
     pub(crate) fn recover(&mut self) {
-        for machine in (0..self.world.machines())
+        for machine in (0..self.simulator.machines())
             .filter(|machine| !self.gone.contains(machine))
             .collect::<Vec<_>>()
         {
             self.start(machine);
             self.thaw(machine);
-            self.world.set_trouble(machine, Trouble::None);
+            self.simulator.set_disk_fault(machine, DiskFault::None);
         }
-        let end = self.world.now() + RECOVERY;
+        let end = self.simulator.now() + RECOVERY;
         assert!(
-            self.run_until(end, Grove::is_whole),
+            self.run_until(end, Cluster::has_recovered),
             "not whole again: {}",
             self.report()
         );
@@ -821,16 +848,18 @@
             let Some(leader) = self.leader() else {
                 return false;
             };
-            let tickets = [self.propose(leader, 0), self.read(leader)];
-            let caught_up = |grove: &Grove| {
-                let committed =
-                    |ticket| matches!(grove.outcome(ticket), Some(Outcome::Committed { .. }));
-                let trees = (0..grove.world.machines()).filter_map(|machine| grove.tree(machine));
-                let count = grove.checks.commands.len();
-                tickets.into_iter().all(committed)
-                    && trees.into_iter().all(|tree| tree.applied().len() == count)
+            let request_ids = [self.propose(leader, 0), self.read(leader)];
+            let caught_up = |cluster: &Cluster| {
+                let committed = |request_id| {
+                    matches!(cluster.outcome(request_id), Some(Outcome::Committed { .. }))
+                };
+                let nodes =
+                    (0..cluster.simulator.machines()).filter_map(|machine| cluster.node(machine));
+                let count = cluster.checks.commands.len();
+                request_ids.into_iter().all(committed)
+                    && nodes.into_iter().all(|node| node.applied().len() == count)
             };
-            self.run_until(self.world.now() + 2 * SECOND, caught_up)
+            self.run_until(self.simulator.now() + 2 * SECOND, caught_up)
         });
         assert!(done, "not all have all: {}", self.report());
         let leader = self.leader();
@@ -844,19 +873,20 @@
         );
     }
 
-    pub fn played(&self) -> Played {
-        let committed =
-            |ticket: &&u64| matches!(self.outcome(**ticket), Some(Outcome::Committed { .. }));
-        Played {
-            steps: self.world.steps(),
-            seconds: self.world.now() / SECOND,
-            messages: self.world.messages(),
+    pub fn totals(&self) -> RunTotals {
+        let committed = |request_id: &&u64| {
+            matches!(self.outcome(**request_id), Some(Outcome::Committed { .. }))
+        };
+        RunTotals {
+            steps: self.simulator.steps(),
+            seconds: self.simulator.now() / SECOND,
+            messages: self.simulator.messages(),
             acknowledged: self.acknowledged() as u64,
             reads: self.checks.reads.keys().filter(committed).count() as u64,
             terms: self.terms() as u64,
-            faults: self.story.len() as u64,
+            faults: self.fault_log.len() as u64,
             wipes: self
-                .story
+                .fault_log
                 .iter()
                 .filter(|(_, fault)| matches!(fault, Fault::Wipe(_)))
                 .count() as u64,
@@ -867,37 +897,37 @@
     pub fn report(&self) -> String {
         let mut lines = vec![format!(
             "at {} ms after {} steps",
-            self.world.now() / MILLI,
-            self.world.steps()
+            self.simulator.now() / MILLI,
+            self.simulator.steps()
         )];
-        for machine in 0..self.world.machines() {
-            lines.push(match self.tree(machine) {
+        for machine in 0..self.simulator.machines() {
+            lines.push(match self.node(machine) {
                 None => format!("{machine}: down"),
-                Some(tree) => {
-                    let core = tree.core();
-                    let lives: Vec<_> = core.voters().iter().map(|seat| (seat.address.ip().octets()[3], seat.life % 1000)).collect();
+                Some(node) => {
+                    let core = node.core();
+                    let lives: Vec<_> = core.voters().iter().map(|node_id| (node_id.address.ip().octets()[3], node_id.incarnation % 1000)).collect();
                     format!(
                         "{machine}: {:?} term {} last {} commit {} life {} voters {lives:?} learners {:?} before {:?} contacts {:?}",
-                        core.role(), core.term(), core.last(), core.commit(), core.me().life % 1000,
-                        core.learners().len(), core.voters_before().map(<[Seat]>::len), core.contacts()
+                        core.role(), core.term(), core.last_index(), core.commit_index(), core.id().incarnation % 1000,
+                        core.learners().len(), core.previous_voters().map(<[NodeId]>::len), core.peers()
                     )
                 }
             });
         }
-        let from = self.story.len().saturating_sub(25);
+        let from = self.fault_log.len().saturating_sub(25);
         let told = |(at, (_, fault)): &(usize, &(Micros, Fault))| {
             *at >= from
                 || matches!(
                     fault,
                     Fault::Wipe(_)
-                        | Fault::Add
-                        | Fault::Gone(_)
-                        | Fault::Retire(_)
-                        | Fault::Succeed { .. }
+                        | Fault::AddNode
+                        | Fault::Lost(_)
+                        | Fault::Decommission(_)
+                        | Fault::Replace { .. }
                 )
         };
-        let story = self.story.iter().enumerate().filter(told);
-        lines.extend(story.map(|(_, (at, fault))| format!("{} ms {fault:?}", at / MILLI)));
+        let fault_log = self.fault_log.iter().enumerate().filter(told);
+        lines.extend(fault_log.map(|(_, (at, fault))| format!("{} ms {fault:?}", at / MILLI)));
         lines.join("\n")
     }
 }
--- a/tools/raft-simulation/src/fault_injection.rs
+++ b/tools/raft-simulation/src/fault_injection.rs
@@ -1,6 +1,6 @@
 //! Things break by chance, and are mended again.
 
-use crate::{Micros, Net, Node, Trouble, Watch, World, MILLI, SECOND};
+use crate::{DiskFault, Micros, NetworkProfile, Observer, Process, Simulator, MILLI, SECOND};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,65 +14,65 @@
     KillAll,
     /// Comes back with an empty disk.
     Wipe(usize),
-    Freeze(usize),
+    Pause(usize),
     /// Nothing passes between the two.
-    Cut(usize, usize),
-    OneWay {
+    Partition(usize, usize),
+    OneWayPartition {
         from: usize,
         to: usize,
     },
     /// Nothing comes in.
-    Deaf(usize),
+    NoInbound(usize),
     /// Nothing goes out.
-    Mute(usize),
-    Disk(usize, Trouble),
+    NoOutbound(usize),
+    Disk(usize, DiskFault),
     /// Short of processor time.
-    Lags(usize),
+    Slow(usize),
     /// All links lose, double, delay and swap messages.
-    Rough,
+    UnreliableNetwork,
     /// A new machine, empty.
-    Add,
+    AddNode,
     /// SIGTERM, and it starts again.
     Restart(usize),
     /// SIGTERM, and it is gone for good.
-    Retire(usize),
+    Decommission(usize),
     /// Gone for good, at once.
-    Gone(usize),
+    Lost(usize),
     /// A new machine takes the place of one that is gone, or will be.
-    Succeed {
+    Replace {
         of: usize,
         by: usize,
     },
     /// One that was gone for good starts.
-    Revive(usize),
+    Return(usize),
 }
 
 /// How a fault ends.
-enum Mend {
-    Start(usize),
+enum Repair {
+    Config(usize),
     Thaw(usize),
     Join(usize, usize),
     Disk(usize),
     Lag(usize),
-    Net,
+    NetworkProfile,
 }
 
 /// Breaks things in a world, seeded.
-pub struct Chaos {
+pub struct FaultInjector {
     rng: ChaCha8Rng,
     next_at: Micros,
     /// The longest pause between two faults.
     pause: Micros,
-    calm: Net,
-    ahead: BTreeMap<(Micros, u64), Mend>,
+    calm: NetworkProfile,
+    ahead: BTreeMap<(Micros, u64), Repair>,
     order: u64,
 }
 
-impl Chaos {
+impl FaultInjector {
     /// From `start` on; `pause` is the longest time between two faults.
-    pub fn new(seed: u64, start: Micros, pause: Micros, calm: Net) -> Chaos {
+    pub fn new(seed: u64, start: Micros, pause: Micros, calm: NetworkProfile) -> FaultInjector {
         let rng = ChaCha8Rng::seed_from_u64(seed ^ 0xc4a0);
-        Chaos {
+        FaultInjector {
             rng,
             next_at: start,
             pause,
@@ -89,32 +89,36 @@
             .map_or(self.next_at, |((at, _), _)| self.next_at.min(*at))
     }
 
-    /// Mends what is due; returns the fault that is due, for the caller to allow, note and pass to [`Chaos::break_it`].
-    pub fn act<N: Node>(
+    /// Mends what is due; returns the fault that is due, for the caller to allow, note and pass to [`FaultInjector::inject`].
+    pub fn act<N: Process>(
         &mut self,
-        world: &mut World<N>,
-        watch: &mut impl Watch<N>,
+        simulator: &mut Simulator<N>,
+        observer: &mut impl Observer<N>,
     ) -> Option<Fault> {
         while self
             .ahead
             .first_key_value()
-            .is_some_and(|((at, _), _)| *at <= world.now())
+            .is_some_and(|((at, _), _)| *at <= simulator.now())
         {
-            let (_, mend) = self.ahead.pop_first().expect("looked at");
-            self.mend(world, mend, watch);
+            let (_, repair) = self.ahead.pop_first().expect("looked at");
+            self.repair(simulator, repair, observer);
         }
-        if world.now() < self.next_at {
+        if simulator.now() < self.next_at {
             return None;
         }
-        self.next_at = world.now() + self.rng.gen_range(20 * MILLI..self.pause);
-        Some(self.draw(world.machines()))
+        self.next_at = simulator.now() + self.rng.gen_range(20 * MILLI..self.pause);
+        Some(self.draw(simulator.machines()))
     }
 
     /// No more faults, and all is well again.
-    pub fn end<N: Node>(&mut self, world: &mut World<N>, watch: &mut impl Watch<N>) {
+    pub fn end<N: Process>(
+        &mut self,
+        simulator: &mut Simulator<N>,
+        observer: &mut impl Observer<N>,
+    ) {
         self.next_at = Micros::MAX;
-        while let Some((_, mend)) = self.ahead.pop_first() {
-            self.mend(world, mend, watch);
+        while let Some((_, repair)) = self.ahead.pop_first() {
+            self.repair(simulator, repair, observer);
         }
     }
 
@@ -126,103 +130,114 @@
             0..=15 => Fault::Kill(one),
             16..=21 => Fault::KillAll,
             22..=33 => Fault::Wipe(one),
-            34..=45 => Fault::Freeze(one),
-            46..=51 => Fault::Cut(one, other),
-            52..=59 => Fault::OneWay {
+            34..=45 => Fault::Pause(one),
+            46..=51 => Fault::Partition(one, other),
+            52..=59 => Fault::OneWayPartition {
                 from: one,
                 to: other,
             },
-            60..=63 => Fault::Deaf(one),
-            64..=67 => Fault::Mute(one),
+            60..=63 => Fault::NoInbound(one),
+            64..=67 => Fault::NoOutbound(one),
             68..=83 => {
-                let trouble = [Trouble::Slow, Trouble::Hangs, Trouble::Full];
-                Fault::Disk(one, *trouble.choose(rng).expect("some"))
+                let disk_fault = [DiskFault::Slow, DiskFault::Hung, DiskFault::Full];
+                Fault::Disk(one, *disk_fault.choose(rng).expect("some"))
             }
-            84..=89 => Fault::Lags(one),
-            90..=96 => Fault::Rough,
-            _ => Fault::Add,
+            84..=89 => Fault::Slow(one),
+            90..=96 => Fault::UnreliableNetwork,
+            _ => Fault::AddNode,
         }
     }
 
     /// Breaks it now and plans when it is mended. `Add` is the caller's.
-    pub fn break_it<N: Node>(&mut self, world: &mut World<N>, fault: Fault) {
-        let all = 0..world.machines();
+    pub fn inject<N: Process>(&mut self, simulator: &mut Simulator<N>, fault: Fault) {
+        let all = 0..simulator.machines();
         match fault {
             Fault::Kill(machine) => {
-                world.kill(machine);
-                self.later(world, 50, 3_000, Mend::Start(machine));
+                simulator.kill(machine);
+                self.later(simulator, 50, 3_000, Repair::Config(machine));
             }
             Fault::KillAll => {
                 for machine in all {
-                    world.kill(machine);
-                    self.later(world, 50, 1_000, Mend::Start(machine));
+                    simulator.kill(machine);
+                    self.later(simulator, 50, 1_000, Repair::Config(machine));
                 }
             }
             Fault::Wipe(machine) => {
-                world.wipe(machine);
-                self.later(world, 50, 3_000, Mend::Start(machine));
+                simulator.wipe(machine);
+                self.later(simulator, 50, 3_000, Repair::Config(machine));
             }
-            Fault::Freeze(machine) => {
-                world.freeze(machine);
-                self.later(world, 50, 4_000, Mend::Thaw(machine));
+            Fault::Pause(machine) => {
+                simulator.freeze(machine);
+                self.later(simulator, 50, 4_000, Repair::Thaw(machine));
             }
-            Fault::Cut(one, other) => {
-                self.cut(world, one, other);
-                self.cut(world, other, one);
+            Fault::Partition(one, other) => {
+                self.cut(simulator, one, other);
+                self.cut(simulator, other, one);
             }
-            Fault::OneWay { from, to } => self.cut(world, from, to),
-            Fault::Deaf(machine) => all
+            Fault::OneWayPartition { from, to } => self.cut(simulator, from, to),
+            Fault::NoInbound(machine) => all
                 .filter(|other| *other != machine)
-                .for_each(|other| self.cut(world, other, machine)),
-            Fault::Mute(machine) => all
+                .for_each(|other| self.cut(simulator, other, machine)),
+            Fault::NoOutbound(machine) => all
                 .filter(|other| *other != machine)
-                .for_each(|other| self.cut(world, machine, other)),
-            Fault::Disk(machine, trouble) => {
-                world.set_trouble(machine, trouble);
-                self.later(world, 100, 5_000, Mend::Disk(machine));
+                .for_each(|other| self.cut(simulator, machine, other)),
+            Fault::Disk(machine, disk_fault) => {
+                simulator.set_disk_fault(machine, disk_fault);
+                self.later(simulator, 100, 5_000, Repair::Disk(machine));
             }
-            Fault::Lags(machine) => {
-                world.set_lag(machine, self.rng.gen_range(MILLI..300 * MILLI));
-                self.later(world, 100, 5_000, Mend::Lag(machine));
+            Fault::Slow(machine) => {
+                simulator.set_lag(machine, self.rng.gen_range(MILLI..300 * MILLI));
+                self.later(simulator, 100, 5_000, Repair::Lag(machine));
             }
-            Fault::Rough => {
-                world.net = Net {
+            Fault::UnreliableNetwork => {
+                simulator.net = NetworkProfile {
                     delay: self.calm.delay,
                     jitter: self.rng.gen_range(0..200 * MILLI),
                     lost: self.rng.gen_range(0..300),
                     doubled: self.rng.gen_range(0..200),
                 };
-                self.later(world, 100, 5_000, Mend::Net);
+                self.later(simulator, 100, 5_000, Repair::NetworkProfile);
             }
-            Fault::Add
+            Fault::AddNode
             | Fault::Restart(_)
-            | Fault::Retire(_)
-            | Fault::Gone(_)
-            | Fault::Succeed { .. }
-            | Fault::Revive(_) => {}
+            | Fault::Decommission(_)
+            | Fault::Lost(_)
+            | Fault::Replace { .. }
+            | Fault::Return(_) => {}
         }
     }
 
-    fn cut<N: Node>(&mut self, world: &mut World<N>, from: usize, to: usize) {
-        world.cut(from, to);
-        self.later(world, 100, 5_000, Mend::Join(from, to));
+    fn cut<N: Process>(&mut self, simulator: &mut Simulator<N>, from: usize, to: usize) {
+        simulator.cut(from, to);
+        self.later(simulator, 100, 5_000, Repair::Join(from, to));
     }
 
     /// Between `least` and `most` milliseconds from now.
-    fn later<N: Node>(&mut self, world: &World<N>, least: u64, most: u64, mend: Mend) {
+    fn later<N: Process>(
+        &mut self,
+        simulator: &Simulator<N>,
+        least: u64,
+        most: u64,
+        repair: Repair,
+    ) {
         self.order += 1;
-        let at = world.now() + self.rng.gen_range(least * MILLI..most * MILLI);
-        self.ahead.insert((at, self.order), mend);
+        let at = simulator.now() + self.rng.gen_range(least * MILLI..most * MILLI);
+        self.ahead.insert((at, self.order), repair);
     }
 
-    fn mend<N: Node>(&mut self, world: &mut World<N>, mend: Mend, watch: &mut impl Watch<N>) {
-        match mend {
-            Mend::Start(machine) => world.start(machine, watch),
-            Mend::Thaw(machine) => world.thaw(machine, watch),
-            Mend::Join(from, to) => world.join(from, to),
-            Mend::Disk(machine) => world.set_trouble(machine, Trouble::None),
-            Mend::Lag(machine) => world.set_lag(machine, 0),
-            Mend::Net => world.net = self.calm,
+    fn repair<N: Process>(
+        &mut self,
+        simulator: &mut Simulator<N>,
+        repair: Repair,
+        observer: &mut impl Observer<N>,
+    ) {
+        match repair {
+            Repair::Config(machine) => simulator.start(machine, observer),
+            Repair::Thaw(machine) => simulator.thaw(machine, observer),
+            Repair::Join(from, to) => simulator.join(from, to),
+            Repair::Disk(machine) => simulator.set_disk_fault(machine, DiskFault::None),
+            Repair::Lag(machine) => simulator.set_lag(machine, 0),
+            Repair::NetworkProfile => simulator.net = self.calm,
         }
     }
 }
--- a/tools/raft-simulation/src/linearizability.rs
+++ b/tools/raft-simulation/src/linearizability.rs
@@ -8,7 +8,7 @@
 
 /// A call as its caller saw it. Times are the caller's, in microseconds.
 #[derive(Clone, Debug)]
-pub struct Seen<Q, A> {
+pub struct RecordedCall<Q, A> {
     pub asked: Q,
     pub sent: u64,
     /// When the answer came, and what it was. None: lost, or unclear; it may have been done then, later, or never.
@@ -47,7 +47,7 @@
 
 struct Search<'a, M: Model> {
     model: &'a M,
-    calls: &'a [Seen<M::Asked, M::Answer>],
+    calls: &'a [RecordedCall<M::Asked, M::Answer>],
     /// Answered calls that are done, and the state: looked at before.
     known: HashSet<(Vec<u64>, M::State)>,
     looks: usize,
@@ -57,7 +57,10 @@
 
 /// Puts the calls in an order in which each is done between when it was sent and when its answer came; what can't be
 /// explained where there is none.
-pub fn check<M: Model>(model: &M, calls: &[Seen<M::Asked, M::Answer>]) -> Result<(), String> {
+pub fn check<M: Model>(
+    model: &M,
+    calls: &[RecordedCall<M::Asked, M::Answer>],
+) -> Result<(), String> {
     let mut calls_in_order: Vec<usize> = (0..calls.len()).collect();
     calls_in_order.sort_by_key(|i| calls[*i].back.as_ref().map_or(u64::MAX, |(at, _)| *at));
     let mut search = Search {
@@ -158,7 +161,7 @@
         for i in unanswered {
             let asked = &self.calls[i].asked;
             let wanted = order.iter().filter(|j| !has(&done, **j)).any(|j| {
-                let Seen {
+                let RecordedCall {
                     asked: other, back, ..
                 } = &self.calls[*j];
                 back.as_ref().is_some_and(|(_, answer)| {
