--- a/tools/raft-simulation/src/long_run.rs
+++ b/tools/raft-simulation/src/long_run.rs
@@ -5,13 +5,17 @@
 //! lies in memory here and is opened again at each start without having been closed.
 
 use crate::{
-    address, Boot, Effect, Input, Micros, Net, Node, Trouble, Watch, World, MILLI, SECOND,
+    address, BootOptions, DiskFault, Effect, Input, Micros, NetworkProfile, Observer, Process,
+    Simulator, MILLI, SECOND,
 };
 use magpieline_control_plane::state_machine::{Command, Kept, Records};
 use magpieline_raft::{
-    Action, Batch, Core, Envelope, Event, Index, Outcome, Role, Seat, Start, Stored, Term,
+    Action, Config, Envelope, Event, Index, NodeId, Outcome, PersistentState, RaftNode, Role, Term,
+    WriteBatch,
+};
+use magpieline_raft_store::{
+    builder, quarantine, Directory, Remedy, Store, StoreError, STORE_FILE,
 };
-use magpieline_raft_store::{builder, set_aside, Error, Granary, Remedy, Shelf, FILE};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use redb::{Database, DatabaseError, StorageBackend};
@@ -70,9 +74,9 @@
 
 /// A folder in memory.
 #[derive(Clone, Default)]
-struct Drawer(Arc<Mutex<BTreeMap<String, Bytes>>>);
+struct MemoryDirectory(Arc<Mutex<BTreeMap<String, Bytes>>>);
 
-impl Drawer {
+impl MemoryDirectory {
     fn files<T>(&self, use_them: impl FnOnce(&mut BTreeMap<String, Bytes>) -> T) -> T {
         use_them(&mut self.0.lock().expect("nobody panics with it"))
     }
@@ -87,8 +91,8 @@
     }
 }
 
-impl Shelf for Drawer {
-    fn has(&self, name: &str) -> io::Result<bool> {
+impl Directory for MemoryDirectory {
+    fn contains(&self, name: &str) -> io::Result<bool> {
         Ok(self.files(|files| files.contains_key(name)))
     }
 
@@ -96,12 +100,12 @@
         builder().create_with_backend(self.files(|files| files[name].clone()))
     }
 
-    fn create(&self, name: &str) -> Result<(), Error> {
+    fn create(&self, name: &str) -> Result<(), StoreError> {
         let bytes = Bytes::default();
         drop(
             builder()
                 .create_with_backend(bytes.clone())
-                .map_err(Error::of)?,
+                .map_err(StoreError::from_redb)?,
         );
         self.files(|files| files.insert(name.into(), bytes));
         Ok(())
@@ -127,34 +131,35 @@
 
 /// A machine's disk.
 #[derive(Default)]
-pub struct Vault {
-    drawer: RefCell<Drawer>,
-    open: RefCell<Option<Granary>>,
+pub struct StoreDisk {
+    directory: RefCell<MemoryDirectory>,
+    open: RefCell<Option<Store>>,
     /// The most bytes that its files have taken, over all starts.
     most: u64,
 }
 
-impl Vault {
+impl StoreDisk {
     /// What a process finds that starts now, and whether a store had to be set aside for it.
-    fn start(&self) -> (Stored, bool) {
+    fn start(&self) -> (PersistentState, bool) {
         // Whoever had it open is gone, and closes nothing any more.
-        let drawer = Drawer::default();
-        let files = self.drawer.borrow().files(|files| files.clone());
-        drawer.files(|now| now.extend(files.into_iter().map(|(name, bytes)| (name, bytes.copy()))));
-        *self.drawer.borrow_mut() = drawer.clone();
+        let directory = MemoryDirectory::default();
+        let files = self.directory.borrow().files(|files| files.clone());
+        directory
+            .files(|now| now.extend(files.into_iter().map(|(name, bytes)| (name, bytes.copy()))));
+        *self.directory.borrow_mut() = directory.clone();
         let mut aside = false;
         loop {
-            let opened = Granary::open_on(drawer.clone()).and_then(|mut granary| {
-                let stored = granary.load()?;
-                Ok((granary, stored))
+            let opened = Store::open_in(directory.clone()).and_then(|mut store| {
+                let stored = store.load()?;
+                Ok((store, stored))
             });
             match opened {
-                Ok((granary, stored)) => {
-                    *self.open.borrow_mut() = Some(granary);
+                Ok((store, stored)) => {
+                    *self.open.borrow_mut() = Some(store);
                     return (stored, aside);
                 }
-                Err(error) if error.remedy() == Remedy::SetAside && !aside => {
-                    set_aside(&drawer).expect("memory takes everything");
+                Err(error) if error.remedy() == Remedy::Quarantine && !aside => {
+                    quarantine(&directory).expect("memory takes everything");
                     aside = true;
                 }
                 Err(error) => panic!("{error}"),
@@ -164,8 +169,8 @@
 
     /// Bits of values flip, so that the checksums don't fit.
     fn spoil(&self, rng: &mut ChaCha8Rng) {
-        let drawer = self.drawer.borrow();
-        let Some(bytes) = drawer.files(|files| files.get(FILE).cloned()) else {
+        let directory = self.directory.borrow();
+        let Some(bytes) = directory.files(|files| files.get(STORE_FILE).cloned()) else {
             return;
         };
         bytes.with(|bytes| {
@@ -177,8 +182,8 @@
 }
 
 /// A sorting machine without its sockets.
-pub struct Keeper {
-    core: Core,
+pub struct StoreNode {
+    core: RaftNode,
     records: Records,
     /// The state is that of this place in the log.
     index: Index,
@@ -187,11 +192,11 @@
 }
 
 pub enum Call {
-    Propose { ticket: u64, command: Vec<u8> },
+    Propose { request_id: u64, command: Vec<u8> },
     GiveWay,
 }
 
-pub enum Note {
+pub enum Observation {
     Applied {
         index: Index,
         command: u64,
@@ -202,7 +207,7 @@
         state: u64,
     },
     Done {
-        ticket: u64,
+        request_id: u64,
         outcome: Outcome,
     },
     /// The store could not be read.
@@ -218,8 +223,8 @@
 /// A compaction beside those that are wanted, of so many steps one.
 const COMPACT_BY_CHANCE: u32 = 200;
 
-impl Keeper {
-    pub fn core(&self) -> &Core {
+impl StoreNode {
+    pub fn core(&self) -> &RaftNode {
         &self.core
     }
 
@@ -227,7 +232,7 @@
         &self.records
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, effects: &mut Vec<Effect<Keeper>>) {
+    fn carry_out(&mut self, actions: Vec<Action>, effects: &mut Vec<Effect<StoreNode>>) {
         for action in actions {
             effects.push(match action {
                 Action::Send(envelope) => Effect::Send {
@@ -242,7 +247,7 @@
                     self.records
                         .apply(index, &Command::unpack(&command).expect("readable"));
                     self.index = index;
-                    Effect::Note(Note::Applied {
+                    Effect::Observation(Observation::Applied {
                         index,
                         command: hash(&command),
                     })
@@ -250,49 +255,59 @@
                 Action::Restore { index, state } => {
                     self.records = Records::unpack(&state).expect("readable");
                     self.index = index;
-                    Effect::Note(Note::State {
+                    Effect::Observation(Observation::State {
                         index,
                         state: hash(&self.records.pack()),
                     })
                 }
-                Action::Done { ticket, outcome } => Effect::Note(Note::Done { ticket, outcome }),
+                Action::Complete {
+                    request_id,
+                    outcome,
+                } => Effect::Observation(Observation::Done {
+                    request_id,
+                    outcome,
+                }),
             });
         }
     }
 }
 
-impl Node for Keeper {
+impl Process for StoreNode {
     type Message = Envelope;
-    type Write = Batch;
-    type Disk = Vault;
+    type Write = WriteBatch;
+    type Disk = StoreDisk;
     type Call = Call;
-    type Note = Note;
+    type Observation = Observation;
 
-    fn start(boot: &Boot, now: Micros, disk: &Vault) -> (Keeper, Vec<Effect<Keeper>>) {
+    fn start(
+        boot: &BootOptions,
+        now: Micros,
+        disk: &StoreDisk,
+    ) -> (StoreNode, Vec<Effect<StoreNode>>) {
         let (stored, aside) = disk.start();
-        let Boot {
-            me,
+        let BootOptions {
+            address,
             seeds,
             first_run,
             seed,
-            withstand,
-            catch_up,
+            tolerated_failures,
+            recovery_interval,
             ..
         } = boot.clone();
         let rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5ea5);
-        let (core, actions) = Core::start(
+        let (core, actions) = RaftNode::start(
             now,
-            Start {
-                me,
+            Config {
+                address,
                 seeds,
                 first_run,
                 seed,
-                withstand,
-                catch_up,
+                tolerated_failures,
+                recovery_interval,
             },
             stored,
         );
-        let mut keeper = Keeper {
+        let mut node = StoreNode {
             core,
             records: Records::default(),
             index: 0,
@@ -300,38 +315,44 @@
         };
         let mut effects = Vec::new();
         if aside {
-            effects.push(Effect::Note(Note::SetAside));
+            effects.push(Effect::Observation(Observation::SetAside));
         }
-        keeper.carry_out(actions, &mut effects);
-        (keeper, effects)
+        node.carry_out(actions, &mut effects);
+        (node, effects)
     }
 
-    fn step(&mut self, now: Micros, input: Input<Keeper>) -> Vec<Effect<Keeper>> {
+    fn step(&mut self, now: Micros, input: Input<StoreNode>) -> Vec<Effect<StoreNode>> {
         let event = match input {
             Input::Tick => Event::Tick,
             Input::Message(envelope) => Event::Receive(envelope),
-            Input::Synced(serial) => Event::Synced { serial },
-            Input::Refused(serial) => Event::Refused { serial },
-            Input::Call(Call::Propose { ticket, command }) => Event::Propose { ticket, command },
-            Input::Call(Call::GiveWay) => Event::GiveWay,
+            Input::Synced(serial) => Event::Persisted { serial },
+            Input::Refused(serial) => Event::WriteFailed { serial },
+            Input::Call(Call::Propose {
+                request_id,
+                command,
+            }) => Event::Propose {
+                request_id,
+                command,
+            },
+            Input::Call(Call::GiveWay) => Event::StepDown,
         };
         let mut effects = Vec::new();
         let actions = self.core.step(now, event);
         self.carry_out(actions, &mut effects);
         let by_chance = self.rng.gen_ratio(1, COMPACT_BY_CHANCE);
         let mut compactions = 0;
-        while self.core.wants_compact() || (by_chance && compactions == 0 && self.index > 0) {
+        while self.core.should_compact() || (by_chance && compactions == 0 && self.index > 0) {
             compactions += 1;
             assert!(compactions < 3, "a compaction is wanted again and again");
             let state = self.records.pack();
-            effects.push(Effect::Note(Note::State {
+            effects.push(Effect::Observation(Observation::State {
                 index: self.index,
                 state: hash(&state),
             }));
             let actions = self.core.step(
                 now,
                 Event::Compact {
-                    index: self.core.applied(),
+                    index: self.core.applied_index(),
                     state,
                 },
             );
@@ -344,17 +365,17 @@
         Some(self.core.next_wake())
     }
 
-    fn put(disk: &mut Vault, write: Batch) {
+    fn put(disk: &mut StoreDisk, write: WriteBatch) {
         let mut open = disk.open.borrow_mut();
         open.as_mut()
             .expect("a process writes to it")
             .write(&write)
             .expect("memory takes everything");
-        disk.most = disk.most.max(disk.drawer.borrow().bytes());
+        disk.most = disk.most.max(disk.directory.borrow().bytes());
     }
 
     fn weight(message: &Envelope) -> usize {
-        message.message.carried() + HEAD
+        message.message.payload_bytes() + HEAD
     }
 }
 
@@ -364,7 +385,7 @@
 /// What must hold after every step.
 #[derive(Default)]
 struct Checks {
-    leaders: BTreeMap<Term, Seat>,
+    leaders: BTreeMap<Term, NodeId>,
     commands: BTreeMap<Index, u64>,
     states: HashMap<Index, u64>,
     /// The last entry that was acknowledged, its number, and the highest number ever.
@@ -372,53 +393,56 @@
     number: u64,
     asked: HashMap<u64, u64>,
     done: BTreeSet<u64>,
-    set_aside: u64,
+    quarantine: u64,
 }
 
-impl Watch<Keeper> for Checks {
-    fn noted(&mut self, machine: usize, note: Note) {
+impl Observer<StoreNode> for Checks {
+    fn observed(&mut self, machine: usize, note: Observation) {
         match note {
-            Note::Applied { index, command } => {
+            Observation::Applied { index, command } => {
                 let first = *self.commands.entry(index).or_insert(command);
                 assert_eq!(
                     first, command,
                     "machine {machine} applies another command at {index}"
                 );
             }
-            Note::State { index, state } => {
+            Observation::State { index, state } => {
                 let first = *self.states.entry(index).or_insert(state);
                 assert_eq!(
                     first, state,
                     "machine {machine} has another state at {index}"
                 );
             }
-            Note::Done { ticket, outcome } => {
-                self.done.insert(ticket);
+            Observation::Done {
+                request_id,
+                outcome,
+            } => {
+                self.done.insert(request_id);
                 if let Outcome::Committed { index } = outcome {
                     self.acknowledged = self.acknowledged.max(index);
-                    self.number = self.number.max(self.asked[&ticket]);
+                    self.number = self.number.max(self.asked[&request_id]);
                 }
             }
-            Note::SetAside => self.set_aside += 1,
+            Observation::SetAside => self.quarantine += 1,
         }
     }
 
-    fn stepped(&mut self, machine: usize, keeper: &Keeper) {
-        let core = keeper.core();
+    fn after_step(&mut self, machine: usize, node: &StoreNode) {
+        let core = node.core();
         if core.role() != Role::Leader {
             return;
         }
         if !self.leaders.contains_key(&core.term()) {
-            let (last, acknowledged) = (core.last(), self.acknowledged);
+            let (last, acknowledged) = (core.last_index(), self.acknowledged);
             assert!(
                 last >= acknowledged,
                 "machine {machine} leads, its log ends at {last} of {acknowledged}"
             );
         }
-        let first = *self.leaders.entry(core.term()).or_insert(core.me());
+        let first = *self.leaders.entry(core.term()).or_insert(core.id());
         assert_eq!(
             first,
-            core.me(),
+            core.id(),
             "two leaders in term {}, one is machine {machine}",
             core.term()
         );
@@ -427,10 +451,10 @@
 
 /// How a season is set up.
 #[derive(Clone, Copy, Debug)]
-pub struct Sowing {
+pub struct LongRunConfig {
     pub seed: u64,
     pub machines: usize,
-    pub net: Net,
+    pub net: NetworkProfile,
     /// Bytes a second that a machine sends.
     pub rate: Option<u64>,
     pub changes: u64,
@@ -439,12 +463,12 @@
     /// Between two changes, at least.
     pub pause: Micros,
     /// A machine is up again within this time after its trouble, though the changes go on.
-    pub catch_up: Micros,
+    pub recovery_interval: Micros,
 }
 
 /// What a machine goes through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trial {
+pub enum Disruption {
     Restart,
     /// Its disk is empty.
     Wipe,
@@ -452,34 +476,34 @@
     Spoil,
     Freeze,
     Cut,
-    Disk(Trouble),
+    Disk(DiskFault),
     /// The leader, while a machine that lost its disk is being filled.
     LeaderWhileFilled,
     /// Nothing reaches it for a moment while it is being filled: all that is on its way is lost.
     CutWhileFilled,
 }
 
-const TRIALS: [Trial; 10] = [
-    Trial::Restart,
-    Trial::Wipe,
-    Trial::Spoil,
-    Trial::Freeze,
-    Trial::Cut,
-    Trial::Disk(Trouble::Slow),
-    Trial::Disk(Trouble::Hangs),
-    Trial::Disk(Trouble::Full),
-    Trial::LeaderWhileFilled,
-    Trial::CutWhileFilled,
+const DISRUPTIONS: [Disruption; 10] = [
+    Disruption::Restart,
+    Disruption::Wipe,
+    Disruption::Spoil,
+    Disruption::Freeze,
+    Disruption::Cut,
+    Disruption::Disk(DiskFault::Slow),
+    Disruption::Disk(DiskFault::Hung),
+    Disruption::Disk(DiskFault::Full),
+    Disruption::LeaderWhileFilled,
+    Disruption::CutWhileFilled,
 ];
 
 /// What came of a season.
 #[derive(Clone, Debug, Default)]
-pub struct Harvest {
+pub struct LongRunSummary {
     pub acknowledged: u64,
-    pub trials: u64,
-    pub set_aside: u64,
+    pub disruptions: u64,
+    pub quarantine: u64,
     /// How long machines took to be up again, by trial: each in microseconds.
-    pub took: Vec<(Trial, Micros)>,
+    pub took: Vec<(Disruption, Micros)>,
     /// The most bytes that one machine's files took.
     pub most_on_disk: u64,
     pub terms: u64,
@@ -488,14 +512,14 @@
 }
 
 /// Machines, and changes that come to them.
-pub struct Season {
-    pub world: World<Keeper>,
-    sowing: Sowing,
+pub struct LongRun {
+    pub simulator: Simulator<StoreNode>,
+    config: LongRunConfig,
     checks: Checks,
     rng: ChaCha8Rng,
-    /// The change under way: its ticket, when it was first asked, and when last.
+    /// The change under way: its request_id, when it was first asked, and when last.
     asking: Option<(u64, Micros, Micros)>,
-    tickets: u64,
+    request_ids: u64,
     next_at: Micros,
     longest_change: Micros,
     /// Of the newest document.
@@ -522,40 +546,40 @@
 /// Operators ask again after a second of silence.
 const PATIENCE: Micros = SECOND;
 
-impl Season {
-    pub fn sow(sowing: Sowing) -> Season {
-        let mut world = World::new(sowing.seed, sowing.net);
-        world.rate = sowing.rate;
+impl LongRun {
+    pub fn new(config: LongRunConfig) -> LongRun {
+        let mut simulator = Simulator::new(config.seed, config.net);
+        simulator.rate = config.rate;
         let mut checks = Checks::default();
-        let seeds: Vec<_> = (0..sowing.machines.min(SEEDS)).map(address).collect();
-        for _ in 0..sowing.machines {
-            let machine = world.add(seeds.clone(), true);
-            world.start(machine, &mut checks);
+        let seeds: Vec<_> = (0..config.machines.min(SEEDS)).map(address).collect();
+        for _ in 0..config.machines {
+            let machine = simulator.add(seeds.clone(), true);
+            simulator.start(machine, &mut checks);
         }
-        let mut rng = ChaCha8Rng::seed_from_u64(sowing.seed ^ 0x5ea50);
-        let routes = (0..sowing.size / 180 + 1)
+        let mut rng = ChaCha8Rng::seed_from_u64(config.seed ^ 0x5ea50);
+        let routes = (0..config.size / 180 + 1)
             .map(|_| route(&mut rng))
             .collect();
-        let mut season = Season {
-            world,
-            sowing,
+        let mut season = LongRun {
+            simulator,
+            config,
             checks,
             rng,
             asking: None,
-            tickets: 0,
+            request_ids: 0,
             next_at: SECOND,
             longest_change: 0,
             routes,
         };
-        let whole = |season: &Season| (0..sowing.machines).all(|machine| season.is_up(machine));
+        let whole = |season: &LongRun| (0..config.machines).all(|machine| season.is_up(machine));
         assert!(season.run_until(10 * SECOND, whole), "no beginning");
         season
     }
 
     pub fn leader(&self) -> Option<usize> {
-        (0..self.world.machines()).find(|machine| {
-            let leads = |keeper: &Keeper| keeper.core.leads(self.world.clock(*machine));
-            !self.world.is_frozen(*machine) && self.world.node(*machine).is_some_and(leads)
+        (0..self.simulator.machines()).find(|machine| {
+            let leads = |node: &StoreNode| node.core.holds_lease(self.simulator.clock(*machine));
+            !self.simulator.is_frozen(*machine) && self.simulator.node(*machine).is_some_and(leads)
         })
     }
 
@@ -564,20 +588,15 @@
         let Some(leader) = self.leader() else {
             return false;
         };
-        let (Some(keeper), Some(led)) = (self.world.node(machine), self.world.node(leader)) else {
+        let (Some(node), Some(led)) = (self.simulator.node(machine), self.simulator.node(leader))
+        else {
             return false;
         };
-        let held = |keeper: &Keeper| {
-            keeper
-                .records
-                .edition
-                .as_ref()
-                .map_or(0, |kept| kept.number)
-        };
-        // A seat counts once the list that has it is in force: until then the machine is one of those that are lost.
+        let held = |node: &StoreNode| node.records.edition.as_ref().map_or(0, |kept| kept.number);
+        // A node_id counts once the list that has it is in force: until then the machine is one of those that are lost.
         let votes =
-            led.core.voters().contains(&keeper.core.me()) && led.core.voters_before().is_none();
-        votes && !self.world.is_frozen(machine) && held(keeper) + 1 >= held(led)
+            led.core.voters().contains(&node.core.id()) && led.core.previous_voters().is_none();
+        votes && !self.simulator.is_frozen(machine) && held(node) + 1 >= held(led)
     }
 
     fn document(&mut self) -> Command {
@@ -603,15 +622,15 @@
 
     /// The next change, or the one under way again, if it is time.
     fn ask(&mut self) {
-        let now = self.world.now();
+        let now = self.simulator.now();
         let begun = match self.asking {
-            Some((ticket, begun, _)) if self.checks.done.contains(&ticket) => {
+            Some((request_id, begun, _)) if self.checks.done.contains(&request_id) => {
                 self.asking = None;
                 self.longest_change = self.longest_change.max(now - begun);
                 self.next_at = now
                     + self
                         .rng
-                        .gen_range(self.sowing.pause..=2 * self.sowing.pause);
+                        .gen_range(self.config.pause..=2 * self.config.pause);
                 return;
             }
             Some((_, begun, at)) if now >= at + PATIENCE => begun,
@@ -624,127 +643,127 @@
         let Command::Replace(kept) = &command else {
             return;
         };
-        self.tickets += 1;
-        self.checks.asked.insert(self.tickets, kept.number);
-        self.asking = Some((self.tickets, begun, now));
+        self.request_ids += 1;
+        self.checks.asked.insert(self.request_ids, kept.number);
+        self.asking = Some((self.request_ids, begun, now));
         let call = Call::Propose {
-            ticket: self.tickets,
+            request_id: self.request_ids,
             command: command.pack(),
         };
-        self.world.call(leader, call, &mut self.checks);
+        self.simulator.call(leader, call, &mut self.checks);
     }
 
-    fn run_until(&mut self, span: Micros, holds: impl Fn(&Season) -> bool) -> bool {
-        let end = self.world.now() + span;
+    fn run_until(&mut self, span: Micros, holds: impl Fn(&LongRun) -> bool) -> bool {
+        let end = self.simulator.now() + span;
         loop {
             if holds(self) {
                 return true;
             }
-            if self.world.now() >= end {
+            if self.simulator.now() >= end {
                 return false;
             }
             // Changes are looked after each few milliseconds.
-            let look = self.world.now() + 5 * MILLI;
-            while self.world.next_at().is_some_and(|at| at <= look) {
-                self.world.step(&mut self.checks);
+            let look = self.simulator.now() + 5 * MILLI;
+            while self.simulator.next_at().is_some_and(|at| at <= look) {
+                self.simulator.step(&mut self.checks);
             }
-            self.world.pass(look);
+            self.simulator.pass(look);
             self.ask();
         }
     }
 
-    fn trial(&mut self, trial: Trial, machine: usize) -> Micros {
+    fn disruption(&mut self, disruption: Disruption, machine: usize) -> Micros {
         let down = self.rng.gen_range(50 * MILLI..2 * SECOND);
-        let all = self.world.machines();
-        match trial {
-            Trial::Restart
-            | Trial::Wipe
-            | Trial::Spoil
-            | Trial::LeaderWhileFilled
-            | Trial::CutWhileFilled => {
-                if !matches!(trial, Trial::Restart | Trial::Spoil) {
-                    self.world.wipe(machine);
+        let all = self.simulator.machines();
+        match disruption {
+            Disruption::Restart
+            | Disruption::Wipe
+            | Disruption::Spoil
+            | Disruption::LeaderWhileFilled
+            | Disruption::CutWhileFilled => {
+                if !matches!(disruption, Disruption::Restart | Disruption::Spoil) {
+                    self.simulator.wipe(machine);
                 } else {
-                    self.world.kill(machine);
+                    self.simulator.kill(machine);
                 }
-                if trial == Trial::Spoil {
-                    self.world.disk(machine).spoil(&mut self.rng);
+                if disruption == Disruption::Spoil {
+                    self.simulator.disk(machine).spoil(&mut self.rng);
                 }
                 self.run_until(down, |_| false);
-                self.world.start(machine, &mut self.checks);
-                if trial == Trial::CutWhileFilled {
+                self.simulator.start(machine, &mut self.checks);
+                if disruption == Disruption::CutWhileFilled {
                     let soon = self.rng.gen_range(MILLI..100 * MILLI);
                     self.run_until(soon, |_| false);
                     (0..all)
                         .filter(|other| *other != machine)
-                        .for_each(|other| self.world.cut(other, machine));
+                        .for_each(|other| self.simulator.cut(other, machine));
                     self.run_until(300 * MILLI, |_| false);
-                    (0..all).for_each(|other| self.world.join(other, machine));
+                    (0..all).for_each(|other| self.simulator.join(other, machine));
                 }
-                if trial == Trial::LeaderWhileFilled {
+                if disruption == Disruption::LeaderWhileFilled {
                     // Its filling starts over with another leader. Nobody is lost: leadership is handed on.
                     let soon = self.rng.gen_range(MILLI..500 * MILLI);
                     self.run_until(soon, |_| false);
                     if let Some(leader) = self.leader() {
-                        self.world.call(leader, Call::GiveWay, &mut self.checks);
+                        self.simulator.call(leader, Call::GiveWay, &mut self.checks);
                     }
                 }
             }
-            Trial::Freeze => {
-                self.world.freeze(machine);
+            Disruption::Freeze => {
+                self.simulator.freeze(machine);
                 self.run_until(down, |_| false);
-                self.world.thaw(machine, &mut self.checks);
+                self.simulator.thaw(machine, &mut self.checks);
             }
-            Trial::Cut => {
+            Disruption::Cut => {
                 let one_way = self.rng.gen_range(0..3);
                 let others = || (0..all).filter(|other| *other != machine);
                 others()
                     .filter(|_| one_way != 1)
-                    .for_each(|other| self.world.cut(machine, other));
+                    .for_each(|other| self.simulator.cut(machine, other));
                 others()
                     .filter(|_| one_way != 2)
-                    .for_each(|other| self.world.cut(other, machine));
+                    .for_each(|other| self.simulator.cut(other, machine));
                 self.run_until(down, |_| false);
                 others().for_each(|other| {
-                    self.world.join(machine, other);
-                    self.world.join(other, machine);
+                    self.simulator.join(machine, other);
+                    self.simulator.join(other, machine);
                 });
             }
-            Trial::Disk(trouble) => {
-                self.world.set_trouble(machine, trouble);
+            Disruption::Disk(disk_fault) => {
+                self.simulator.set_disk_fault(machine, disk_fault);
                 self.run_until(down, |_| false);
-                self.world.set_trouble(machine, Trouble::None);
+                self.simulator.set_disk_fault(machine, DiskFault::None);
             }
         }
-        let mended = self.world.now();
-        let (seed, bound) = (self.sowing.seed, self.sowing.catch_up);
+        let mended = self.simulator.now();
+        let (seed, bound) = (self.config.seed, self.config.recovery_interval);
         let up = self.run_until(bound, |season| season.is_up(machine));
         assert!(
             up,
-            "seed {seed}: machine {machine} is not up {bound} us after {trial:?}: {}",
+            "seed {seed}: machine {machine} is not up {bound} us after {disruption:?}: {}",
             self.report()
         );
-        self.world.now() - mended
+        self.simulator.now() - mended
     }
 
     /// Plays all changes, with one trial after the other.
-    pub fn harvest(mut self) -> Harvest {
-        let mut harvest = Harvest::default();
-        let number = |season: &Season| season.checks.number;
-        while number(&self) < self.sowing.changes {
-            let trial = TRIALS[harvest.trials as usize % TRIALS.len()];
-            let machine = self.rng.gen_range(0..self.world.machines());
-            let took = self.trial(trial, machine);
-            harvest.took.push((trial, took));
-            harvest.trials += 1;
+    pub fn run(mut self) -> LongRunSummary {
+        let mut run = LongRunSummary::default();
+        let number = |season: &LongRun| season.checks.number;
+        while number(&self) < self.config.changes {
+            let disruption = DISRUPTIONS[run.disruptions as usize % DISRUPTIONS.len()];
+            let machine = self.rng.gen_range(0..self.simulator.machines());
+            let took = self.disruption(disruption, machine);
+            run.took.push((disruption, took));
+            run.disruptions += 1;
             let calm = self.rng.gen_range(0..2 * SECOND);
             self.run_until(calm, |_| false);
         }
-        let machines = 0..self.world.machines();
-        let even = |season: &Season| {
+        let machines = 0..self.simulator.machines();
+        let even = |season: &LongRun| {
             let states = machines
                 .clone()
-                .map(|m| season.world.node(m).map(|k| k.core.applied()));
+                .map(|m| season.simulator.node(m).map(|k| k.core.applied_index()));
             states.collect::<BTreeSet<_>>().len() == 1 && season.asking.is_none()
         };
         self.next_at = Micros::MAX;
@@ -755,48 +774,51 @@
         );
         let states: BTreeSet<u64> = machines
             .clone()
-            .filter_map(|m| self.world.node(m))
+            .filter_map(|m| self.simulator.node(m))
             .map(|k| hash(&k.records.pack()))
             .collect();
         assert_eq!(states.len(), 1, "states differ");
         let held = machines
             .clone()
-            .filter_map(|m| self.world.node(m)?.records.edition.clone());
+            .filter_map(|m| self.simulator.node(m)?.records.edition.clone());
         let numbers: BTreeSet<u64> = held.map(|kept| kept.number).collect();
         assert!(
             numbers.first() >= Some(&self.checks.number),
             "{numbers:?}, {} acknowledged",
             self.checks.number
         );
-        harvest.acknowledged = self.checks.number;
-        harvest.set_aside = self.checks.set_aside;
-        harvest.most_on_disk = machines.map(|m| self.world.disk(m).most).max().unwrap_or(0);
-        harvest.terms = self.checks.leaders.len() as u64;
-        harvest.longest_change = self.longest_change;
-        harvest
+        run.acknowledged = self.checks.number;
+        run.quarantine = self.checks.quarantine;
+        run.most_on_disk = machines
+            .map(|m| self.simulator.disk(m).most)
+            .max()
+            .unwrap_or(0);
+        run.terms = self.checks.leaders.len() as u64;
+        run.longest_change = self.longest_change;
+        run
     }
 
     fn report(&self) -> String {
         let line = |machine: usize| {
-            match self.world.node(machine) {
+            match self.simulator.node(machine) {
             None => format!("{machine}: down"),
-            Some(Keeper { core, records, .. }) => format!(
+            Some(StoreNode { core, records, .. }) => format!(
                 "{machine}: backlog {} us, {:?} term {} last {} commit {} applied {} durable {} edition {:?} voters {:?} \
                 contacts {:?}",
-                self.world.backlog(machine),
+                self.simulator.backlog(machine),
                 core.role(),
                 core.term(),
-                core.last(),
-                core.commit(),
-                core.applied(),
-                core.durable(),
+                core.last_index(),
+                core.commit_index(),
+                core.applied_index(),
+                core.durable_index(),
                 records.edition.as_ref().map(|kept| kept.number),
                 core.voters(),
-                core.contacts()
+                core.peers()
             ),
         }
         };
-        (0..self.world.machines())
+        (0..self.simulator.machines())
             .map(line)
             .collect::<Vec<_>>()
             .join("\n")
--- a/tools/raft-simulation/src/main.rs
+++ b/tools/raft-simulation/src/main.rs
@@ -2,8 +2,8 @@
 
 use gumdrop::Options;
 use magpieline_raft_simulation::{
-    Called, Grove, Harvest, Micros, Net, Office, Planting, Played, Season, Sowing, Trouble, MILLI,
-    SECOND,
+    Cluster, ClusterConfig, DiskFault, LongRun, LongRunConfig, LongRunSummary, Micros,
+    NetworkProfile, OperatorWorkload, RunTotals, WorkloadTotals, MILLI, SECOND,
 };
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -41,7 +41,7 @@
     #[options(
         help = "hundreds of changes, with members in trouble one after the other, on stores as on machines"
     )]
-    Season(SeasonLine),
+    LongRun(SeasonLine),
 }
 
 #[derive(Options)]
@@ -85,7 +85,7 @@
         help = "how long a machine counts as lost after its return, in ms (4000)",
         default = "4000"
     )]
-    catch_up: u64,
+    recovery_interval: u64,
     #[options(help = "threads (one for each processor)")]
     threads: Option<usize>,
 }
@@ -114,7 +114,7 @@
     match line.command {
         Some(Command::Run(run)) => play(&run),
         Some(Command::Losses(run)) => lose(&run),
-        Some(Command::Season(line)) => {
+        Some(Command::LongRun(line)) => {
             seasons(&line);
             ExitCode::SUCCESS
         }
@@ -136,48 +136,48 @@
 /// One seed after the other; the first failure ends it.
 fn seasons(line: &SeasonLine) {
     for seed in line.seeds.clone() {
-        let harvest = Season::sow(Sowing {
+        let run = LongRun::new(LongRunConfig {
             seed,
             machines: line.machines,
-            net: Net {
+            net: NetworkProfile {
                 delay: line.delay,
                 lost: line.lost,
-                ..Net::CALM
+                ..NetworkProfile::RELIABLE
             },
             rate: Some(line.mbps * 1_000_000 / 8),
             changes: line.changes,
             size: line.bytes,
             pause: line.pause * MILLI,
-            catch_up: line.within * MILLI,
+            recovery_interval: line.within * MILLI,
         })
-        .harvest();
-        let Harvest {
+        .run();
+        let LongRunSummary {
             acknowledged,
-            trials,
-            set_aside,
+            disruptions,
+            quarantine,
             most_on_disk,
             terms,
             longest_change,
             took,
-        } = harvest;
+        } = run;
         println!(
-            "seed {seed}: {acknowledged} changes, {trials} trials, {set_aside} set aside, {terms} terms, most on disk {} MB, \
+            "seed {seed}: {acknowledged} changes, {disruptions} trials, {quarantine} set aside, {terms} terms, most on disk {} MB, \
             longest change {} ms",
             most_on_disk >> 20,
             longest_change / MILLI
         );
         let mut by_trial: BTreeMap<String, Vec<Micros>> = BTreeMap::new();
-        for (trial, took) in took {
+        for (disruption, took) in took {
             by_trial
-                .entry(format!("{trial:?}"))
+                .entry(format!("{disruption:?}"))
                 .or_default()
                 .push(took / MILLI);
         }
-        for (trial, mut times) in by_trial {
+        for (disruption, mut times) in by_trial {
             times.sort_unstable();
             let (half, most) = (times[times.len() / 2], times[times.len() - 1]);
             println!(
-                "  up after {trial}: half {half} ms, most {most} ms, {} times",
+                "  up after {disruption}: half {half} ms, most {most} ms, {} times",
                 times.len()
             );
         }
@@ -185,39 +185,47 @@
 }
 
 fn play(run: &Run) -> ExitCode {
-    let total = Mutex::new(Played::default());
+    let total = Mutex::new(RunTotals::default());
     let failed = each_seed(run, "run", |seed| {
-        let planting = Planting {
+        let planting = ClusterConfig {
             seed,
             machines: run.machines,
-            net: Net::CALM,
+            net: NetworkProfile::RELIABLE,
         };
-        let mut grove = Grove::plant_for(planting, (run.machines - 1) / 2, run.catch_up * MILLI);
-        grove.endure(seed, run.steps);
-        total.lock().expect("not poisoned").add(&grove.played());
+        let mut cluster = Cluster::with_tolerance(
+            planting,
+            (run.machines - 1) / 2,
+            run.recovery_interval * MILLI,
+        );
+        cluster.run_with_random_faults(seed, run.steps);
+        total.lock().expect("not poisoned").add(&cluster.totals());
     });
     ended(run, failed, &total.into_inner().expect("not poisoned"))
 }
 
 fn lose(run: &Run) -> ExitCode {
-    let total = Mutex::new(Played::default());
+    let total = Mutex::new(RunTotals::default());
     let failed = each_seed(run, "losses", |seed| {
-        let planting = Planting {
+        let planting = ClusterConfig {
             seed,
             machines: run.machines,
-            net: Net::CALM,
+            net: NetworkProfile::RELIABLE,
         };
-        let mut grove = Grove::plant_for(planting, (run.machines - 1) / 2, run.catch_up * MILLI);
-        grove.endure_losses(seed, run.steps);
-        total.lock().expect("not poisoned").add(&grove.played());
+        let mut cluster = Cluster::with_tolerance(
+            planting,
+            (run.machines - 1) / 2,
+            run.recovery_interval * MILLI,
+        );
+        cluster.run_with_bounded_failures(seed, run.steps);
+        total.lock().expect("not poisoned").add(&cluster.totals());
     });
     ended(run, failed, &total.into_inner().expect("not poisoned"))
 }
 
 fn call(run: &Run) -> ExitCode {
-    let total = Mutex::new(Called::default());
+    let total = Mutex::new(WorkloadTotals::default());
     let failed = each_seed(run, "operators", |seed| {
-        let called = Office::open(seed, run.machines).play(run.steps);
+        let called = OperatorWorkload::open(seed, run.machines).play(run.steps);
         total.lock().expect("not poisoned").add(&called);
     });
     ended(run, failed, &total.into_inner().expect("not poisoned"))
@@ -266,18 +274,18 @@
 
 /// Times in milliseconds over the seeds: least, half, nine of ten, 99 of 100, most.
 fn show(measure: &Measure) {
-    let net = Net {
+    let net = NetworkProfile {
         delay: measure.delay * MILLI,
-        ..Net::CALM
+        ..NetworkProfile::RELIABLE
     };
     let grown = |seed| {
-        let mut grove = Grove::plant(Planting {
+        let mut cluster = Cluster::new(ClusterConfig {
             seed,
             machines: measure.machines,
             net,
         });
-        grove.run_for(3 * SECOND + seed % 100 * MILLI);
-        grove
+        cluster.run_for(3 * SECOND + seed % 100 * MILLI);
+        cluster
     };
     let tell = |what: &str, took: &dyn Fn(u64) -> Option<Micros>| {
         let mut times: Vec<Micros> = measure.seeds.clone().filter_map(took).collect();
@@ -290,68 +298,72 @@
         );
     };
     tell("first start to leader", &|seed| {
-        let mut grove = Grove::plant(Planting {
+        let mut cluster = Cluster::new(ClusterConfig {
             seed,
             machines: measure.machines,
             net,
         });
-        until(&mut grove, |grove| grove.leader().is_some())
+        until(&mut cluster, |cluster| cluster.leader().is_some())
     });
     tell("leader killed to next leader", &|seed| {
-        let mut grove = grown(seed);
-        let old = grove.leader()?;
-        grove.world.kill(old);
-        until(&mut grove, |grove| grove.leader().is_some())
+        let mut cluster = grown(seed);
+        let old = cluster.leader()?;
+        cluster.simulator.kill(old);
+        until(&mut cluster, |cluster| cluster.leader().is_some())
     });
     tell("leader frozen to next leader", &|seed| {
-        let mut grove = grown(seed);
-        let old = grove.leader()?;
-        grove.world.freeze(old);
-        until(&mut grove, |grove| {
-            grove.leader().is_some_and(|leader| leader != old)
+        let mut cluster = grown(seed);
+        let old = cluster.leader()?;
+        cluster.simulator.freeze(old);
+        until(&mut cluster, |cluster| {
+            cluster.leader().is_some_and(|leader| leader != old)
         })
     });
     tell("all started again to leader", &|seed| {
-        let mut grove = grown(seed);
-        (0..measure.machines).for_each(|machine| grove.world.kill(machine));
-        (0..measure.machines).for_each(|machine| grove.start(machine));
-        until(&mut grove, |grove| grove.leader().is_some())
+        let mut cluster = grown(seed);
+        (0..measure.machines).for_each(|machine| cluster.simulator.kill(machine));
+        (0..measure.machines).for_each(|machine| cluster.start(machine));
+        until(&mut cluster, |cluster| cluster.leader().is_some())
     });
     tell("leader's disk hangs to next leader", &|seed| {
-        let mut grove = grown(seed);
-        let old = grove.leader()?;
-        grove.world.set_trouble(old, Trouble::Hangs);
-        grove.propose(old, 100);
-        until(&mut grove, |grove| {
-            grove.leader().is_some_and(|leader| leader != old)
+        let mut cluster = grown(seed);
+        let old = cluster.leader()?;
+        cluster.simulator.set_disk_fault(old, DiskFault::Hung);
+        cluster.propose(old, 100);
+        until(&mut cluster, |cluster| {
+            cluster.leader().is_some_and(|leader| leader != old)
         })
     });
     tell("wiped machine started to voter", &|seed| {
-        let mut grove = grown(seed);
+        let mut cluster = grown(seed);
         for _ in 0..120 {
-            let leader = grove.leader()?;
-            grove.propose(leader, 1000);
-            grove.run_for(5 * MILLI);
+            let leader = cluster.leader()?;
+            cluster.propose(leader, 1000);
+            cluster.run_for(5 * MILLI);
         }
-        let wiped = (grove.leader()? + 1) % measure.machines;
-        grove.wipe(wiped);
-        grove.run_for(SECOND);
-        grove.start(wiped);
-        until(&mut grove, |grove| {
-            grove.tree(wiped).is_some_and(|tree| tree.core().is_voter())
+        let wiped = (cluster.leader()? + 1) % measure.machines;
+        cluster.wipe(wiped);
+        cluster.run_for(SECOND);
+        cluster.start(wiped);
+        until(&mut cluster, |cluster| {
+            cluster
+                .node(wiped)
+                .is_some_and(|node| node.core().is_voter())
         })
     });
     tell("proposal to acknowledgement", &|seed| {
-        let mut grove = grown(seed);
-        let ticket = grove.propose(grove.leader()?, 1000);
-        until(&mut grove, |grove| grove.outcome(ticket).is_some())
+        let mut cluster = grown(seed);
+        let request_id = cluster.propose(cluster.leader()?, 1000);
+        until(&mut cluster, |cluster| {
+            cluster.outcome(request_id).is_some()
+        })
     });
-    let mut grove = grown(measure.seeds.start);
-    let (messages, steps) = (grove.world.messages(), grove.world.steps());
-    grove.run_for(10 * SECOND);
+    let mut cluster = grown(measure.seeds.start);
+    let (messages, steps) = (cluster.simulator.messages(), cluster.simulator.steps());
+    cluster.run_for(10 * SECOND);
     let (messages, steps) = (
-        grove.world.messages() - messages,
-        grove.world.steps() - steps,
+        cluster.simulator.messages() - messages,
+        cluster.simulator.steps() - steps,
     );
     println!(
         "idle, all machines: {} messages, {} steps a second",
@@ -361,9 +373,9 @@
 }
 
 /// How long until it holds, unless that takes more than ten seconds.
-fn until(grove: &mut Grove, holds: impl Fn(&Grove) -> bool) -> Option<Micros> {
-    let begun = grove.world.now();
-    grove
+fn until(cluster: &mut Cluster, holds: impl Fn(&Cluster) -> bool) -> Option<Micros> {
+    let begun = cluster.simulator.now();
+    cluster
         .run_until(begun + 10 * SECOND, holds)
-        .then(|| grove.world.now() - begun)
+        .then(|| cluster.simulator.now() - begun)
 }
--- a/tools/raft-simulation/src/operator_node.rs
+++ b/tools/raft-simulation/src/operator_node.rs
@@ -1,10 +1,12 @@
 //! A sorting machine as operators meet it: its core, the records agreed on, and the calls in hand, which it answers as
 //! the program's `sorting/control.rs` does.
 
-use crate::{Boot, Effect, Input, Micros, Node, MILLI, SECOND};
+use crate::{BootOptions, Effect, Input, Micros, Process, MILLI, SECOND};
 use magpieline_control_plane::deduplication::{Digest, Witness};
 use magpieline_control_plane::state_machine::{self, Command, Kept, Phase, Records};
-use magpieline_raft::{Action, Batch, Core, Envelope, Event, Index, Outcome, Start, Stored};
+use magpieline_raft::{
+    Action, Config, Envelope, Event, Index, Outcome, PersistentState, RaftNode, WriteBatch,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -61,7 +63,7 @@
 }
 
 /// What a machine did.
-pub enum Note {
+pub enum Observation {
     Answered {
         id: u64,
         answer: Answer,
@@ -77,12 +79,12 @@
     },
 }
 
-struct InHand {
+struct PendingCall {
     asked: Asked,
     /// Steady clock and time of day when it came.
     came: (Micros, Micros),
     /// The question to the core, and what is answered where that needs only its word that this machine leads.
-    ticket: Option<u64>,
+    request_id: Option<u64>,
     settled: Option<state_machine::Effect>,
     again_at: Micros,
     /// Whether this machine led when it came.
@@ -90,18 +92,18 @@
 }
 
 /// One of them.
-pub struct Desk {
-    core: Core,
+pub struct OperatorNode {
+    core: RaftNode,
     records: Records,
     witness: Witness,
-    calls: BTreeMap<u64, InHand>,
-    tickets: u64,
+    calls: BTreeMap<u64, PendingCall>,
+    request_ids: u64,
     applied: Index,
     since: u64,
 }
 
-impl Desk {
-    pub fn core(&self) -> &Core {
+impl OperatorNode {
+    pub fn core(&self) -> &RaftNode {
         &self.core
     }
 
@@ -109,7 +111,12 @@
         &self.records
     }
 
-    fn carry_out(&mut self, now: Micros, actions: Vec<Action>, effects: &mut Vec<Effect<Desk>>) {
+    fn carry_out(
+        &mut self,
+        now: Micros,
+        actions: Vec<Action>,
+        effects: &mut Vec<Effect<OperatorNode>>,
+    ) {
         let mut did = BTreeMap::new();
         for action in actions {
             match action {
@@ -129,7 +136,7 @@
                     self.witness.applied(now, &self.records);
                     (self.applied, self.since) = (index, self.since + 1);
                     did.insert(index, effect.clone());
-                    effects.push(Effect::Note(Note::Applied {
+                    effects.push(Effect::Observation(Observation::Applied {
                         index,
                         command,
                         effect,
@@ -139,12 +146,15 @@
                     self.records = Records::unpack(&state).expect("as it was packed");
                     self.witness.applied(now, &self.records);
                     (self.applied, self.since) = (index, 0);
-                    effects.push(Effect::Note(Note::Restored {
+                    effects.push(Effect::Observation(Observation::Restored {
                         index,
                         records: self.records.clone(),
                     }));
                 }
-                Action::Done { ticket, outcome } => self.done(now, ticket, outcome, &did, effects),
+                Action::Complete {
+                    request_id,
+                    outcome,
+                } => self.done(now, request_id, outcome, &did, effects),
             }
         }
     }
@@ -152,15 +162,15 @@
     fn done(
         &mut self,
         now: Micros,
-        ticket: u64,
+        request_id: u64,
         outcome: Outcome,
         did: &BTreeMap<Index, state_machine::Effect>,
-        effects: &mut Vec<Effect<Desk>>,
+        effects: &mut Vec<Effect<OperatorNode>>,
     ) {
         let Some((&id, call)) = self
             .calls
             .iter_mut()
-            .find(|(_, call)| call.ticket == Some(ticket))
+            .find(|(_, call)| call.request_id == Some(request_id))
         else {
             return;
         };
@@ -189,19 +199,19 @@
                     }
                 }
             },
-            Outcome::Lost if !is_read && call.settled.is_none() => Answer::Unclear,
-            Outcome::NotLeader { .. } | Outcome::Overloaded | Outcome::Lost => {
-                (call.ticket, call.settled, call.again_at) = (None, None, now + AGAIN);
+            Outcome::LeadershipLost if !is_read && call.settled.is_none() => Answer::Unclear,
+            Outcome::NotLeader { .. } | Outcome::Overloaded | Outcome::LeadershipLost => {
+                (call.request_id, call.settled, call.again_at) = (None, None, now + AGAIN);
                 return;
             }
         };
         self.calls.remove(&id);
-        effects.push(Effect::Note(Note::Answered { id, answer }));
+        effects.push(Effect::Observation(Observation::Answered { id, answer }));
     }
 
     /// Looks after the calls in hand: asks the core, sends callers on, or lets them go.
-    fn tend(&mut self, now: Micros, effects: &mut Vec<Effect<Desk>>) {
-        let due = |call: &InHand| match call.ticket {
+    fn tend(&mut self, now: Micros, effects: &mut Vec<Effect<OperatorNode>>) {
+        let due = |call: &PendingCall| match call.request_id {
             Some(_) => now >= call.came.0 + PATIENCE,
             None => now >= call.again_at,
         };
@@ -216,17 +226,17 @@
             let elsewhere = self
                 .core
                 .leader()
-                .filter(|leader| *leader != self.core.me().address);
+                .filter(|leader| *leader != self.core.id().address);
             let over = now >= call.came.0 + PATIENCE;
             let answer = match elsewhere {
-                _ if call.ticket.is_some() => Answer::Unclear,
+                _ if call.request_id.is_some() => Answer::Unclear,
                 _ if matches!(call.asked, Asked::Begin { .. })
                     && !call.led
-                    && self.core.leads(now) =>
+                    && self.core.holds_lease(now) =>
                 {
                     Answer::Unclear
                 }
-                _ if !over && self.core.leads(now) => {
+                _ if !over && self.core.holds_lease(now) => {
                     self.ask(now, id, effects);
                     continue;
                 }
@@ -238,15 +248,15 @@
                 }
             };
             self.calls.remove(&id);
-            effects.push(Effect::Note(Note::Answered { id, answer }));
+            effects.push(Effect::Observation(Observation::Answered { id, answer }));
         }
     }
 
-    fn ask(&mut self, now: Micros, id: u64, effects: &mut Vec<Effect<Desk>>) {
-        self.tickets += 1;
-        let ticket = self.tickets;
+    fn ask(&mut self, now: Micros, id: u64, effects: &mut Vec<Effect<OperatorNode>>) {
+        self.request_ids += 1;
+        let request_id = self.request_ids;
         let call = self.calls.get_mut(&id).expect("in hand");
-        call.ticket = Some(ticket);
+        call.request_id = Some(request_id);
         let proposal = match &call.asked {
             Asked::Read | Asked::State { .. } => None,
             Asked::Replace { number, text } => {
@@ -271,51 +281,55 @@
         };
         let event = match proposal {
             Some(command) => Event::Propose {
-                ticket,
+                request_id,
                 command: command.pack(),
             },
-            None => Event::Read { ticket },
+            None => Event::Read { request_id },
         };
         let actions = self.core.step(now, event);
         self.carry_out(now, actions, effects);
     }
 }
 
-impl Node for Desk {
+impl Process for OperatorNode {
     type Message = Envelope;
-    type Write = Batch;
-    type Disk = Stored;
+    type Write = WriteBatch;
+    type Disk = PersistentState;
     type Call = Call;
-    type Note = Note;
+    type Observation = Observation;
 
-    fn start(boot: &Boot, now: Micros, disk: &Stored) -> (Desk, Vec<Effect<Desk>>) {
-        let Boot {
-            me,
+    fn start(
+        boot: &BootOptions,
+        now: Micros,
+        disk: &PersistentState,
+    ) -> (OperatorNode, Vec<Effect<OperatorNode>>) {
+        let BootOptions {
+            address,
             seeds,
             first_run,
             seed,
             day,
-            withstand,
-            catch_up,
+            tolerated_failures,
+            recovery_interval,
         } = boot.clone();
-        let (core, actions) = Core::start(
+        let (core, actions) = RaftNode::start(
             now,
-            Start {
-                me,
+            Config {
+                address,
                 seeds,
                 first_run,
                 seed,
-                withstand,
-                catch_up,
+                tolerated_failures,
+                recovery_interval,
             },
             disk.clone(),
         );
-        let mut desk = Desk {
+        let mut desk = OperatorNode {
             core,
             records: Records::default(),
             witness: Witness::new(now, day),
             calls: BTreeMap::new(),
-            tickets: 0,
+            request_ids: 0,
             applied: 0,
             since: 0,
         };
@@ -324,25 +338,25 @@
         (desk, effects)
     }
 
-    fn step(&mut self, now: Micros, input: Input<Desk>) -> Vec<Effect<Desk>> {
+    fn step(&mut self, now: Micros, input: Input<OperatorNode>) -> Vec<Effect<OperatorNode>> {
         let mut effects = Vec::new();
         let event = match input {
             Input::Tick => Event::Tick,
             Input::Message(envelope) => Event::Receive(envelope),
-            Input::Synced(serial) => Event::Synced { serial },
-            Input::Refused(serial) => Event::Refused { serial },
+            Input::Synced(serial) => Event::Persisted { serial },
+            Input::Refused(serial) => Event::WriteFailed { serial },
             Input::Call(Call::Propose(command)) => Event::Propose {
-                ticket: 0,
+                request_id: 0,
                 command: command.pack(),
             },
             Input::Call(Call::Ask { id, asked, day }) => {
-                let call = InHand {
+                let call = PendingCall {
                     asked,
                     came: (now, day),
-                    ticket: None,
+                    request_id: None,
                     settled: None,
                     again_at: now,
-                    led: self.core.leads(now),
+                    led: self.core.holds_lease(now),
                 };
                 self.calls.insert(id, call);
                 Event::Tick
@@ -350,7 +364,7 @@
         };
         let actions = self.core.step(now, event);
         self.carry_out(now, actions, &mut effects);
-        if self.since >= COMPACT_AFTER || self.core.wants_compact() {
+        if self.since >= COMPACT_AFTER || self.core.should_compact() {
             self.since = 0;
             let event = Event::Compact {
                 index: self.applied,
@@ -364,7 +378,7 @@
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        let due = |call: &InHand| match call.ticket {
+        let due = |call: &PendingCall| match call.request_id {
             Some(_) => call.came.0 + PATIENCE,
             None => call.again_at,
         };
@@ -372,7 +386,7 @@
         Some(calls.map_or(self.core.next_wake(), |due| due.min(self.core.next_wake())))
     }
 
-    fn put(disk: &mut Stored, write: Batch) {
+    fn put(disk: &mut PersistentState, write: WriteBatch) {
         write.apply(disk);
     }
 }
--- a/tools/raft-simulation/src/operator_workload.rs
+++ b/tools/raft-simulation/src/operator_workload.rs
@@ -3,14 +3,17 @@
 //! history; what the machines did, after every step.
 
 use crate::linearizability::{
-    self, DocumentAnswer, DocumentAsked, Documents, Fate, RolloutAnswer, RolloutAsked, Rollouts,
-    Seen,
+    self, DocumentAnswer, DocumentAsked, Documents, Fate, RecordedCall, RolloutAnswer,
+    RolloutAsked, Rollouts,
+};
+use crate::operator_node::{Answer, Asked, Call, Observation, OperatorNode, RECEIPT};
+use crate::{
+    address, DiskFault, Fault, FaultInjector, Micros, NetworkProfile, Observer, Process, Simulator,
+    MILLI, SECOND,
 };
-use crate::operator_node::{Answer, Asked, Call, Desk, Note, RECEIPT};
-use crate::{address, Chaos, Fault, Micros, Net, Node, Trouble, Watch, World, MILLI, SECOND};
 use magpieline_control_plane::deduplication::Digest;
 use magpieline_control_plane::state_machine::{Command, Effect, Phase, Records};
-use magpieline_raft::{Core, Index};
+use magpieline_raft::{Index, RaftNode};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -50,11 +53,11 @@
     Digest::of(&format!("{records:?}"))
 }
 
-impl Watch<Desk> for Checks {
-    fn noted(&mut self, machine: usize, note: Note) {
+impl Observer<OperatorNode> for Checks {
+    fn observed(&mut self, machine: usize, note: Observation) {
         match note {
-            Note::Answered { id, answer } => self.answers.push((id, answer)),
-            Note::Applied {
+            Observation::Answered { id, answer } => self.answers.push((id, answer)),
+            Observation::Applied {
                 index,
                 command,
                 effect,
@@ -78,7 +81,7 @@
                     self.log.insert(index, (command, effect, self.now));
                 }
             },
-            Note::Restored { index, records } => {
+            Observation::Restored { index, records } => {
                 let known = self
                     .states
                     .get(&index)
@@ -124,7 +127,7 @@
 
 /// What happened in a run, for who wants to see that it was one.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Called {
+pub struct WorkloadTotals {
     pub steps: u64,
     pub calls: u64,
     pub taken: u64,
@@ -137,8 +140,8 @@
     pub wipes: u64,
 }
 
-impl Called {
-    pub fn add(&mut self, other: &Called) {
+impl WorkloadTotals {
+    pub fn add(&mut self, other: &WorkloadTotals) {
         self.steps += other.steps;
         self.calls += other.calls;
         self.taken += other.taken;
@@ -153,10 +156,10 @@
 }
 
 /// Sorting machines, operators, and what breaks.
-pub struct Office {
-    world: World<Desk>,
+pub struct OperatorWorkload {
+    simulator: Simulator<OperatorNode>,
     checks: Checks,
-    chaos: Chaos,
+    injector: FaultInjector,
     rng: ChaCha8Rng,
     machines: usize,
     orders: Vec<Order>,
@@ -172,21 +175,21 @@
     faults: Vec<(Micros, Fault)>,
 }
 
-impl Office {
+impl OperatorWorkload {
     /// Starts so many machines for the first time.
-    pub fn open(seed: u64, machines: usize) -> Office {
-        let mut world = World::new(seed, Net::CALM);
+    pub fn open(seed: u64, machines: usize) -> OperatorWorkload {
+        let mut simulator = Simulator::new(seed, NetworkProfile::RELIABLE);
         let mut checks = Checks::default();
         let seeds: Vec<_> = (0..machines.min(3)).map(address).collect();
         for _ in 0..machines {
-            let machine = world.add(seeds.clone(), true);
-            world.start(machine, &mut checks);
+            let machine = simulator.add(seeds.clone(), true);
+            simulator.start(machine, &mut checks);
         }
         let pause = [SECOND, 3 * SECOND, 8 * SECOND][(seed % 3) as usize];
-        Office {
-            world,
+        OperatorWorkload {
+            simulator,
             checks,
-            chaos: Chaos::new(seed, SECOND, pause, Net::CALM),
+            injector: FaultInjector::new(seed, SECOND, pause, NetworkProfile::RELIABLE),
             rng: ChaCha8Rng::seed_from_u64(seed ^ 0x0ff1ce),
             machines,
             orders: Vec::new(),
@@ -204,16 +207,16 @@
 
     /// Operators call and things break for so many steps; then all is mended, all is read back and the history is looked
     /// at. Panics with what is wrong.
-    pub fn play(&mut self, steps: u64) -> Called {
-        while self.world.steps() < steps {
+    pub fn play(&mut self, steps: u64) -> WorkloadTotals {
+        while self.simulator.steps() < steps {
             self.step(Micros::MAX);
         }
         self.order_at = Micros::MAX;
-        self.chaos.end(&mut self.world, &mut self.checks);
+        self.injector.end(&mut self.simulator, &mut self.checks);
         for machine in 0..self.machines {
-            self.world.start(machine, &mut self.checks);
-            self.world.thaw(machine, &mut self.checks);
-            self.world.set_trouble(machine, Trouble::None);
+            self.simulator.start(machine, &mut self.checks);
+            self.simulator.thaw(machine, &mut self.checks);
+            self.simulator.set_disk_fault(machine, DiskFault::None);
         }
         self.run_for(12 * SECOND);
         let first = self.orders.len();
@@ -239,8 +242,8 @@
     }
 
     fn run_for(&mut self, span: Micros) {
-        let end = self.world.now() + span;
-        while self.world.now() < end {
+        let end = self.simulator.now() + span;
+        while self.simulator.now() < end {
             self.step(end);
         }
     }
@@ -261,17 +264,17 @@
             .min(way)
             .min(self.order_at)
             .min(self.steward_at)
-            .min(self.chaos.next_at())
+            .min(self.injector.next_at())
             .min(end);
-        if self.world.next_at().is_some_and(|at| at <= own) {
-            self.checks.now = self.world.next_at().expect("looked at");
-            self.world.step(&mut self.checks);
+        if self.simulator.next_at().is_some_and(|at| at <= own) {
+            self.checks.now = self.simulator.next_at().expect("looked at");
+            self.simulator.step(&mut self.checks);
         } else {
-            let own = own.max(self.world.now());
+            let own = own.max(self.simulator.now());
             self.checks.now = own;
-            self.world.pass(own);
-            if let Some(fault) = self.chaos.act(&mut self.world, &mut self.checks) {
-                self.suffer(fault);
+            self.simulator.pass(own);
+            if let Some(fault) = self.injector.act(&mut self.simulator, &mut self.checks) {
+                self.apply_fault(fault);
             }
             self.act();
         }
@@ -283,58 +286,59 @@
         }
     }
 
-    fn suffer(&mut self, fault: Fault) {
+    fn apply_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Add => return,
+            Fault::AddNode => return,
             Fault::Wipe(machine) if !self.may_wipe(machine) => return,
-            Fault::Wipe(_) => self.wipe_from = self.world.now() + WIPES_APART,
+            Fault::Wipe(_) => self.wipe_from = self.simulator.now() + WIPES_APART,
             _ => {}
         }
-        self.faults.push((self.world.now(), fault));
-        self.chaos.break_it(&mut self.world, fault);
+        self.faults.push((self.simulator.now(), fault));
+        self.injector.inject(&mut self.simulator, fault);
     }
 
     /// Only while all machines run and vote by one list that is in force, by what they know and by what they would know
     /// after a loss of power, and have the same log: so that one lost disk is all that is lost.
     fn may_wipe(&self, machine: usize) -> bool {
-        let desks: Vec<&Desk> = (0..self.machines)
-            .filter_map(|m| self.world.node(m))
+        let desks: Vec<&OperatorNode> = (0..self.machines)
+            .filter_map(|m| self.simulator.node(m))
             .collect();
-        let Some(known) = self.world.node(machine).map(Desk::core) else {
+        let Some(known) = self.simulator.node(machine).map(OperatorNode::core) else {
             return false;
         };
-        let whole = |core: &Core| {
-            core.voters_before().is_none()
+        let whole = |core: &RaftNode| {
+            core.previous_voters().is_none()
                 && core.voters() == known.voters()
                 && desks
                     .iter()
-                    .all(|desk| core.voters().contains(&desk.core().me()))
+                    .all(|desk| core.voters().contains(&desk.core().id()))
         };
-        self.world.now() >= self.wipe_from
+        self.simulator.now() >= self.wipe_from
             && desks.len() == self.machines
             && known.voters().len() == self.machines
             && (0..self.machines).all(|m| {
                 whole(
-                    Desk::start(self.world.boot(m), 0, self.world.disk(m))
+                    OperatorNode::start(self.simulator.boot(m), 0, self.simulator.disk(m))
                         .0
                         .core(),
                 )
             })
             && desks.iter().all(|desk| {
                 let core = desk.core();
-                whole(core) && (core.term(), core.commit()) == (known.term(), known.commit())
+                whole(core)
+                    && (core.term(), core.commit_index()) == (known.term(), known.commit_index())
             })
     }
 
     fn way(&mut self, longest: Micros, way: Way) {
         self.serial += 1;
-        let at = self.world.now() + self.rng.gen_range(MILLI..longest);
+        let at = self.simulator.now() + self.rng.gen_range(MILLI..longest);
         self.ways.insert((at, self.serial), way);
     }
 
     /// Operators' turn.
     fn act(&mut self) {
-        let now = self.world.now();
+        let now = self.simulator.now();
         if now >= self.order_at {
             self.order_at = now + self.rng.gen_range(20 * MILLI..600 * MILLI);
             let under_way = self.sent.values().filter(|s| s.open).count();
@@ -418,7 +422,7 @@
 
     /// A new version, or one that was ordered long ago, perhaps within another term.
     fn version(&mut self, service: &str) -> (String, u64) {
-        let now = self.world.now();
+        let now = self.simulator.now();
         let mut last: BTreeMap<(&str, u64), Micros> = BTreeMap::new();
         for order in &self.orders {
             if let Asked::Begin {
@@ -447,7 +451,7 @@
     }
 
     fn want(&mut self, asked: Asked, span: Micros, copies: u32) {
-        let now = self.world.now();
+        let now = self.simulator.now();
         self.orders.push(Order {
             asked,
             first_sent: now,
@@ -459,7 +463,7 @@
     }
 
     fn send(&mut self, order: usize) {
-        let now = self.world.now();
+        let now = self.simulator.now();
         self.orders[order].next_at = None;
         if now > self.orders[order].until {
             return;
@@ -484,13 +488,13 @@
 
     fn arrive(&mut self, id: u64, machine: usize) {
         let asked = self.orders[self.sent[&id].order].asked.clone();
-        let day = self.world.day(machine);
-        self.world
+        let day = self.simulator.day(machine);
+        self.simulator
             .call(machine, Call::Ask { id, asked, day }, &mut self.checks);
     }
 
     fn hear(&mut self, id: u64, answer: Answer) {
-        let now = self.world.now();
+        let now = self.simulator.now();
         let Some(sent) = self.sent.get_mut(&id).filter(|s| s.open) else {
             return;
         };
@@ -524,7 +528,7 @@
 
     /// No clear answer: the same is sent again after a pause that grows.
     fn again(&mut self, order: usize) {
-        let at = self.world.now() + self.rng.gen_range(MILLI..self.orders[order].pause);
+        let at = self.simulator.now() + self.rng.gen_range(MILLI..self.orders[order].pause);
         let order = &mut self.orders[order];
         order.pause = (2 * order.pause).min(SECOND);
         order.next_at = Some(at);
@@ -533,10 +537,10 @@
     /// A leader's steward decides on rollouts.
     fn move_on(&mut self) {
         for machine in 0..self.machines {
-            let Some(desk) = self.world.node(machine) else {
+            let Some(desk) = self.simulator.node(machine) else {
                 continue;
             };
-            if desk.core().leader() != Some(desk.core().me().address) {
+            if desk.core().leader() != Some(desk.core().id().address) {
                 continue;
             }
             let under_way = SERVICES
@@ -553,7 +557,7 @@
                     order: rollout.order,
                     phase,
                 };
-                self.world
+                self.simulator
                     .call(machine, Call::Propose(command), &mut self.checks);
             }
         }
@@ -575,20 +579,20 @@
 
     /// How the machines stand, and what broke last, for who reads a failure.
     fn report(&self) -> String {
-        let mut lines = vec![format!("at {} ms", self.world.now() / MILLI)];
+        let mut lines = vec![format!("at {} ms", self.simulator.now() / MILLI)];
         for machine in 0..self.machines {
-            lines.push(match self.world.node(machine) {
+            lines.push(match self.simulator.node(machine) {
                 None => format!("{machine}: down"),
                 Some(desk) => {
                     let core = desk.core();
-                    let (me, voters) = (core.me().life % 1000, core.voters());
-                    let lives: Vec<u64> = voters.iter().map(|seat| seat.life % 1000).collect();
+                    let (own, voters) = (core.id().incarnation % 1000, core.voters());
+                    let incarnations: Vec<u64> = voters.iter().map(|node_id| node_id.incarnation % 1000).collect();
                     format!(
-                        "{machine}: {:?} term {} last {} commit {} life {me} voters {lives:?}",
+                        "{machine}: {:?} term {} last {} commit {} incarnation {own} voters {incarnations:?}",
                         core.role(),
                         core.term(),
-                        core.last(),
-                        core.commit()
+                        core.last_index(),
+                        core.commit_index()
                     )
                 }
             });
@@ -602,7 +606,7 @@
         lines.join("\n")
     }
 
-    fn documents(&self) -> Vec<Seen<DocumentAsked, DocumentAnswer>> {
+    fn documents(&self) -> Vec<RecordedCall<DocumentAsked, DocumentAnswer>> {
         let mut names: HashMap<Arc<str>, u64> = HashMap::new();
         let mut name = |text: &Arc<str>| {
             let next = names.len() as u64;
@@ -630,7 +634,7 @@
                 (*at, answer)
             });
             if back.is_some() || asked != DocumentAsked::Read {
-                calls.push(Seen {
+                calls.push(RecordedCall {
                     asked,
                     sent: sent.sent,
                     back,
@@ -640,7 +644,7 @@
         calls
     }
 
-    fn rollouts(&self, of: &str) -> Vec<Seen<RolloutAsked, RolloutAnswer>> {
+    fn rollouts(&self, of: &str) -> Vec<RecordedCall<RolloutAsked, RolloutAnswer>> {
         let mut names: HashMap<(String, u64), u64> = HashMap::new();
         let mut name = |to: &str, within: u64| {
             let next = names.len() as u64;
@@ -679,7 +683,7 @@
                 (*at, answer)
             });
             if back.is_some() || asked != RolloutAsked::State {
-                calls.push(Seen {
+                calls.push(RecordedCall {
                     asked,
                     sent: sent.sent,
                     back,
@@ -789,14 +793,14 @@
         }
     }
 
-    fn called(&self) -> Called {
+    fn called(&self) -> WorkloadTotals {
         let answered = |wanted: fn(&Answer) -> bool| {
             let answers = self.sent.values().filter_map(|s| s.back.as_ref());
             answers.filter(|(_, answer)| wanted(answer)).count() as u64
         };
         let effects = self.checks.log.values();
-        Called {
-            steps: self.world.steps(),
+        WorkloadTotals {
+            steps: self.simulator.steps(),
             calls: self.sent.len() as u64,
             taken: answered(|a| *a == Answer::Taken),
             refused: answered(|a| *a == Answer::Refused),
--- a/tools/raft-simulation/src/simulator.rs
+++ b/tools/raft-simulation/src/simulator.rs
@@ -8,8 +8,8 @@
 
 /// What a process is told at its start.
 #[derive(Clone, Debug)]
-pub struct Boot {
-    pub me: SocketAddrV4,
+pub struct BootOptions {
+    pub address: SocketAddrV4,
     pub seeds: Vec<SocketAddrV4>,
     pub first_run: bool,
     /// Different at every start.
@@ -17,12 +17,12 @@
     /// The machine's time of day at the start, microseconds since 1970.
     pub day: Micros,
     /// How many machines may be lost at once, and how long after its return a machine still counts as lost.
-    pub withstand: usize,
-    pub catch_up: Micros,
+    pub tolerated_failures: usize,
+    pub recovery_interval: Micros,
 }
 
 /// What happens to a node.
-pub enum Input<N: Node> {
+pub enum Input<N: Process> {
     Tick,
     Message(N::Message),
     /// The write of this serial is on disk.
@@ -34,7 +34,7 @@
 }
 
 /// What a node does.
-pub enum Effect<N: Node> {
+pub enum Effect<N: Process> {
     Send {
         to: SocketAddrV4,
         message: N::Message,
@@ -42,20 +42,20 @@
     /// One at a time.
     Write { serial: u64, write: N::Write },
     /// For the one who watches.
-    Note(N::Note),
+    Observation(N::Observation),
 }
 
 /// A core that runs on a machine: no I/O, no clock.
-pub trait Node: Sized {
+pub trait Process: Sized {
     type Message: Clone;
     /// What is written in one go, all of it or nothing.
     type Write;
     /// What is on the disk; empty by default. `()` for those without one.
     type Disk: Default;
     type Call;
-    type Note;
+    type Observation;
 
-    fn start(boot: &Boot, now: Micros, disk: &Self::Disk) -> (Self, Vec<Effect<Self>>);
+    fn start(boot: &BootOptions, now: Micros, disk: &Self::Disk) -> (Self, Vec<Effect<Self>>);
     fn step(&mut self, now: Micros, input: Input<Self>) -> Vec<Effect<Self>>;
     fn next_wake(&self) -> Option<Micros>;
     fn put(disk: &mut Self::Disk, write: Self::Write);
@@ -67,28 +67,28 @@
 }
 
 /// Who looks on; panics when something is wrong.
-pub trait Watch<N: Node> {
+pub trait Observer<N: Process> {
     /// `machine` sends a message; `disk` is what would survive a loss of power just then.
     fn sent(&mut self, _machine: usize, _disk: &N::Disk, _message: &N::Message) {}
-    fn noted(&mut self, _machine: usize, _note: N::Note) {}
+    fn observed(&mut self, _machine: usize, _note: N::Observation) {}
     /// After every step.
-    fn stepped(&mut self, _machine: usize, _node: &N) {}
+    fn after_step(&mut self, _machine: usize, _node: &N) {}
 }
 
 /// How a disk does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum DiskFault {
     None,
     /// Thirty times its usual time.
     Slow,
     /// Nothing completes until it is over.
-    Hangs,
+    Hung,
     Full,
 }
 
 /// The network's manners, for all links.
 #[derive(Clone, Copy, Debug)]
-pub struct Net {
+pub struct NetworkProfile {
     pub delay: Micros,
     /// Up to so much is added to the delay of each message, so that they overtake one another.
     pub jitter: Micros,
@@ -97,9 +97,9 @@
     pub doubled: u32,
 }
 
-impl Net {
+impl NetworkProfile {
     /// One millisecond, nothing lost.
-    pub const CALM: Net = Net {
+    pub const RELIABLE: NetworkProfile = NetworkProfile {
         delay: MILLI,
         jitter: 100,
         lost: 0,
@@ -116,15 +116,15 @@
 /// Timers fire up to so much late.
 const LATE: Micros = 2 * MILLI;
 
-struct Machine<N: Node> {
-    boot: Boot,
+struct Machine<N: Process> {
+    boot: BootOptions,
     node: Option<N>,
     /// Counts starts: what was for an earlier process does not reach this one.
     starts: u64,
     /// What came while frozen.
     inbox: Option<Vec<Input<N>>>,
     disk: N::Disk,
-    trouble: Trouble,
+    disk_fault: DiskFault,
     writing: Option<(u64, N::Write)>,
     wake_at: Option<Micros>,
     /// When its link has sent all that was given to it.
@@ -137,7 +137,7 @@
     clock: (Micros, u64),
 }
 
-enum Happening<N: Node> {
+enum Happening<N: Process> {
     Deliver {
         from: usize,
         to: usize,
@@ -152,13 +152,13 @@
 }
 
 /// All of it.
-pub struct World<N: Node> {
+pub struct Simulator<N: Process> {
     now: Micros,
     rng: ChaCha8Rng,
     machines: Vec<Machine<N>>,
     ahead: BTreeMap<(Micros, u64), Happening<N>>,
     order: u64,
-    pub net: Net,
+    pub net: NetworkProfile,
     /// Bytes that a machine can send in a second, to all others together; None: any number.
     pub rate: Option<u64>,
     /// From, to: nothing passes.
@@ -166,8 +166,8 @@
     messages: u64,
     steps: u64,
     /// What all machines are told.
-    pub withstand: usize,
-    pub catch_up: Micros,
+    pub tolerated_failures: usize,
+    pub recovery_interval: Micros,
 }
 
 /// Where a machine is.
@@ -178,9 +178,9 @@
     )
 }
 
-impl<N: Node> World<N> {
-    pub fn new(seed: u64, net: Net) -> World<N> {
-        World {
+impl<N: Process> Simulator<N> {
+    pub fn new(seed: u64, net: NetworkProfile) -> Simulator<N> {
+        Simulator {
             now: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             machines: Vec::new(),
@@ -191,23 +191,24 @@
             cuts: BTreeSet::new(),
             messages: 0,
             steps: 0,
-            withstand: 1,
-            catch_up: 4 * SECOND,
+            tolerated_failures: 1,
+            recovery_interval: 4 * SECOND,
         }
     }
 
     /// Puts a machine up, not yet started.
     pub fn add(&mut self, seeds: Vec<SocketAddrV4>, first_run: bool) -> usize {
-        let (withstand, catch_up) = (self.withstand, self.catch_up);
-        let me = address(self.machines.len());
-        let boot = Boot {
-            me,
+        let (tolerated_failures, recovery_interval) =
+            (self.tolerated_failures, self.recovery_interval);
+        let own_address = address(self.machines.len());
+        let boot = BootOptions {
+            address: own_address,
             seeds,
             first_run,
             seed: 0,
             day: 0,
-            withstand,
-            catch_up,
+            tolerated_failures,
+            recovery_interval,
         };
         // Clocks began at any time and differ by up to a thousandth.
         let clock = (
@@ -220,7 +221,7 @@
             starts: 0,
             inbox: None,
             disk: N::Disk::default(),
-            trouble: Trouble::None,
+            disk_fault: DiskFault::None,
             writing: None,
             wake_at: None,
             sent_at: 0,
@@ -262,7 +263,7 @@
         &self.machines[machine].disk
     }
 
-    pub fn boot(&self, machine: usize) -> &Boot {
+    pub fn boot(&self, machine: usize) -> &BootOptions {
         &self.machines[machine].boot
     }
 
@@ -305,7 +306,7 @@
     }
 
     /// Starts the process if it does not run.
-    pub fn start(&mut self, machine: usize, watch: &mut impl Watch<N>) {
+    pub fn start(&mut self, machine: usize, observer: &mut impl Observer<N>) {
         if self.machines[machine].node.is_some() {
             return;
         }
@@ -317,15 +318,15 @@
         (this.boot.seed, this.boot.day) = (seed, day);
         let (node, effects) = N::start(&this.boot, now, &this.disk);
         this.node = Some(node);
-        self.carry_out(machine, effects, watch);
+        self.carry_out(machine, effects, observer);
     }
 
     /// From the next start of each on, so many may be lost at once.
-    pub fn set_withstand(&mut self, withstand: usize) {
-        self.withstand = withstand;
+    pub fn set_tolerated_failures(&mut self, tolerated_failures: usize) {
+        self.tolerated_failures = tolerated_failures;
         self.machines
             .iter_mut()
-            .for_each(|machine| machine.boot.withstand = withstand);
+            .for_each(|machine| machine.boot.tolerated_failures = tolerated_failures);
     }
 
     /// From the next start on, and `first_run` is over.
@@ -342,13 +343,13 @@
         this.node = None;
         this.inbox = None;
         this.wake_at = None;
-        let takes = matches!(this.trouble, Trouble::None | Trouble::Slow);
+        let takes = matches!(this.disk_fault, DiskFault::None | DiskFault::Slow);
         if let Some((_, write)) = this.writing.take().filter(|_| written && takes) {
             N::put(&mut this.disk, write);
         }
     }
 
-    /// As [`World::kill`], and the disk comes back empty.
+    /// As [`Simulator::kill`], and the disk comes back empty.
     pub fn wipe(&mut self, machine: usize) {
         self.kill(machine);
         self.machines[machine].disk = N::Disk::default();
@@ -361,10 +362,10 @@
         }
     }
 
-    pub fn thaw(&mut self, machine: usize, watch: &mut impl Watch<N>) {
+    pub fn thaw(&mut self, machine: usize, observer: &mut impl Observer<N>) {
         let inputs = self.machines[machine].inbox.take().unwrap_or_default();
         for input in inputs.into_iter().chain([Input::Tick]) {
-            self.give(machine, input, watch);
+            self.give(machine, input, observer);
         }
     }
 
@@ -381,8 +382,8 @@
         self.cuts.remove(&(from, to));
     }
 
-    pub fn set_trouble(&mut self, machine: usize, trouble: Trouble) {
-        self.machines[machine].trouble = trouble;
+    pub fn set_disk_fault(&mut self, machine: usize, disk_fault: DiskFault) {
+        self.machines[machine].disk_fault = disk_fault;
         // What hung goes on; what is under way otherwise ends as it was begun.
         if let Some((serial, _)) = self.machines[machine].writing {
             self.plan_disk(machine, serial);
@@ -390,10 +391,10 @@
     }
 
     fn plan_disk(&mut self, machine: usize, serial: u64) {
-        let takes = match self.machines[machine].trouble {
-            Trouble::None | Trouble::Full => SYNC,
-            Trouble::Slow => SYNC * SLOW_FACTOR,
-            Trouble::Hangs => return,
+        let takes = match self.machines[machine].disk_fault {
+            DiskFault::None | DiskFault::Full => SYNC,
+            DiskFault::Slow => SYNC * SLOW_FACTOR,
+            DiskFault::Hung => return,
         };
         let at = self.now + self.rng.gen_range(takes / 2..=takes);
         let starts = self.machines[machine].starts;
@@ -408,8 +409,8 @@
     }
 
     /// Somebody on the machine calls its process; nothing happens if it does not run.
-    pub fn call(&mut self, machine: usize, call: N::Call, watch: &mut impl Watch<N>) {
-        self.give(machine, Input::Call(call), watch);
+    pub fn call(&mut self, machine: usize, call: N::Call, observer: &mut impl Observer<N>) {
+        self.give(machine, Input::Call(call), observer);
     }
 
     /// When something happens next.
@@ -427,7 +428,7 @@
     }
 
     /// The next thing happens.
-    pub fn step(&mut self, watch: &mut impl Watch<N>) {
+    pub fn step(&mut self, observer: &mut impl Observer<N>) {
         let Some(((at, _), what)) = self.ahead.pop_first() else {
             return;
         };
@@ -435,41 +436,47 @@
         match what {
             Happening::Deliver { from, to, message } => {
                 if !self.cuts.contains(&(from, to)) {
-                    self.give(to, Input::Message(message), watch);
+                    self.give(to, Input::Message(message), observer);
                 }
             }
             Happening::Wake(machine) => {
                 if self.machines[machine].wake_at == Some(at) {
                     self.machines[machine].wake_at = None;
-                    self.give(machine, Input::Tick, watch);
+                    self.give(machine, Input::Tick, observer);
                 }
             }
             Happening::DiskDone {
                 machine,
                 starts,
                 serial,
-            } => self.disk_done(machine, starts, serial, watch),
+            } => self.disk_done(machine, starts, serial, observer),
         }
     }
 
-    fn disk_done(&mut self, machine: usize, starts: u64, serial: u64, watch: &mut impl Watch<N>) {
+    fn disk_done(
+        &mut self,
+        machine: usize,
+        starts: u64,
+        serial: u64,
+        observer: &mut impl Observer<N>,
+    ) {
         let this = &mut self.machines[machine];
-        if this.starts != starts || this.trouble == Trouble::Hangs {
+        if this.starts != starts || this.disk_fault == DiskFault::Hung {
             return;
         }
         let Some((_, write)) = this.writing.take_if(|(writing, _)| *writing == serial) else {
             return;
         };
-        let input = if this.trouble == Trouble::Full {
+        let input = if this.disk_fault == DiskFault::Full {
             Input::Refused(serial)
         } else {
             N::put(&mut this.disk, write);
             Input::Synced(serial)
         };
-        self.give(machine, input, watch);
+        self.give(machine, input, observer);
     }
 
-    fn give(&mut self, machine: usize, input: Input<N>, watch: &mut impl Watch<N>) {
+    fn give(&mut self, machine: usize, input: Input<N>, observer: &mut impl Observer<N>) {
         let now = self.clock(machine);
         let this = &mut self.machines[machine];
         let Some(node) = &mut this.node else { return };
@@ -478,15 +485,20 @@
             return;
         }
         let effects = node.step(now, input);
-        self.carry_out(machine, effects, watch);
+        self.carry_out(machine, effects, observer);
     }
 
-    fn carry_out(&mut self, machine: usize, effects: Vec<Effect<N>>, watch: &mut impl Watch<N>) {
+    fn carry_out(
+        &mut self,
+        machine: usize,
+        effects: Vec<Effect<N>>,
+        observer: &mut impl Observer<N>,
+    ) {
         self.steps += 1;
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => {
-                    watch.sent(machine, &self.machines[machine].disk, &message);
+                    observer.sent(machine, &self.machines[machine].disk, &message);
                     self.send(machine, to, message);
                 }
                 Effect::Write { serial, write } => {
@@ -494,11 +506,11 @@
                     assert!(before.is_none(), "machine {machine} writes twice at a time");
                     self.plan_disk(machine, serial);
                 }
-                Effect::Note(note) => watch.noted(machine, note),
+                Effect::Observation(note) => observer.observed(machine, note),
             }
         }
         if let Some(node) = &self.machines[machine].node {
-            watch.stepped(machine, node);
+            observer.after_step(machine, node);
         }
         self.plan_wake(machine);
     }
--- a/tools/raft-simulation/tests/contact/machines.rs
+++ b/tools/raft-simulation/tests/contact/machines.rs
@@ -9,8 +9,10 @@
 use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Hello, Report, Up};
 use magpieline_control_plane::proxy_registry::Roster;
 use magpieline_control_plane::state_machine::{Command, Kept, Records};
-use magpieline_raft::{Action, Batch, Core, Envelope, Event, Outcome, Role, Start, Stored, Term};
-use magpieline_raft_simulation::{Boot, Effect, Input, Micros, Node, MILLI};
+use magpieline_raft::{
+    Action, Config, Envelope, Event, Outcome, PersistentState, RaftNode, Role, Term, WriteBatch,
+};
+use magpieline_raft_simulation::{BootOptions, Effect, Input, Micros, Process, MILLI};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
@@ -18,7 +20,7 @@
 
 #[derive(Clone)]
 pub enum Message {
-    Core(Envelope),
+    Raft(Envelope),
     Link {
         from: SocketAddrV4,
         link: u64,
@@ -31,7 +33,7 @@
     Replace(u64),
 }
 
-pub enum Note {
+pub enum Observation {
     /// An edition was acknowledged, by the leader of this term.
     Acknowledged { number: u64, term: Term },
     /// A counter has taken in what was said in this term.
@@ -44,8 +46,8 @@
 }
 
 pub struct Sorting {
-    me: SocketAddrV4,
-    core: Core,
+    address: SocketAddrV4,
+    core: RaftNode,
     records: Records,
     roster: Roster,
     feeds: Feeds,
@@ -60,8 +62,8 @@
 }
 
 pub struct Counter {
-    me: SocketAddrV4,
-    life: u64,
+    address: SocketAddrV4,
+    incarnation: u64,
     next_link: u64,
     /// The clock at the last step.
     pub now: Micros,
@@ -92,7 +94,7 @@
                 Action::Send(envelope) => {
                     effects.push(Effect::Send {
                         to: envelope.to.address,
-                        message: Message::Core(envelope),
+                        message: Message::Raft(envelope),
                     });
                 }
                 Action::Write { serial, batch } => effects.push(Effect::Write {
@@ -108,7 +110,10 @@
                     self.records = Records::unpack(&state).expect("ours");
                     self.newest(now, effects);
                 }
-                Action::Done { ticket, outcome } => answered.push((ticket, outcome)),
+                Action::Complete {
+                    request_id,
+                    outcome,
+                } => answered.push((request_id, outcome)),
             }
         }
         // As the driver shows it, before anybody acts on the outcomes.
@@ -125,22 +130,22 @@
                 effects,
             );
         }
-        for (ticket, outcome) in answered {
+        for (request_id, outcome) in answered {
             let committed = matches!(outcome, Outcome::Committed { .. });
-            if let Some(number) = self.sent.remove(&ticket).filter(|_| committed) {
-                effects.push(Effect::Note(Note::Acknowledged {
+            if let Some(number) = self.sent.remove(&request_id).filter(|_| committed) {
+                effects.push(Effect::Observation(Observation::Acknowledged {
                     number,
                     term: self.core.term(),
                 }));
             }
-            if let Some((link, hello, term)) = self.asked.remove(&ticket) {
+            if let Some((link, hello, term)) = self.asked.remove(&request_id) {
                 let confirmed = term.filter(|_| committed && self.leading() == term);
                 self.answer(now, link, hello, confirmed, effects);
             }
         }
-        if self.core.wants_compact() {
+        if self.core.should_compact() {
             let event = Event::Compact {
-                index: self.core.applied(),
+                index: self.core.applied_index(),
                 state: self.records.pack(),
             };
             self.event(now, event, effects);
@@ -161,7 +166,12 @@
         confirmed: Option<Term>,
         effects: &mut Effects,
     ) {
-        let core: Vec<SocketAddrV4> = self.core.voters().iter().map(|seat| seat.address).collect();
+        let core: Vec<SocketAddrV4> = self
+            .core
+            .voters()
+            .iter()
+            .map(|node_id| node_id.address)
+            .collect();
         match confirmed.filter(|term| self.roster.hello(now, link, *term, &hello)) {
             Some(term) => {
                 let services = self.records.services.clone().into_iter().collect();
@@ -192,7 +202,7 @@
                 );
             }
             None => {
-                let leader = self.core.leader().filter(|leader| *leader != self.me);
+                let leader = self.core.leader().filter(|leader| *leader != self.address);
                 let told = Fenced {
                     term: self.core.term(),
                     word: Down::Elsewhere { leader, core },
@@ -219,7 +229,7 @@
         effects.push(Effect::Send {
             to,
             message: Message::Link {
-                from: self.me,
+                from: self.address,
                 link,
                 segment,
             },
@@ -292,9 +302,9 @@
         match up {
             Up::Hello(hello) => {
                 self.next_ticket += 1;
-                let ticket = self.next_ticket;
-                self.asked.insert(ticket, (link, hello, self.leading()));
-                self.event(now, Event::Read { ticket }, effects);
+                let request_id = self.next_ticket;
+                self.asked.insert(request_id, (link, hello, self.leading()));
+                self.event(now, Event::Read { request_id }, effects);
             }
             Up::Report(report) => {
                 if !self.roster.report(now, link, report) {
@@ -318,7 +328,7 @@
     fn tick(&mut self, now: Micros, effects: &mut Effects) {
         if now >= self.beat_at {
             self.beat_at = now + BEAT;
-            if let (true, Some(term)) = (self.core.leads(now), self.roster.term()) {
+            if let (true, Some(term)) = (self.core.holds_lease(now), self.roster.term()) {
                 let counters = self.roster.count(now);
                 let edition = self.records.edition.as_ref().map_or(0, |kept| kept.number);
                 let asked: Vec<(u64, Micros)> = self.roster.asked().collect();
@@ -365,7 +375,7 @@
                 controller_client::Action::Dial(to) => {
                     self.next_link += 1;
                     self.intake = Intake::default();
-                    self.link = Some((self.life ^ self.next_link, to, Pipe::default()));
+                    self.link = Some((self.incarnation ^ self.next_link, to, Pipe::default()));
                     self.say(Segment::Open, effects);
                     continue;
                 }
@@ -375,9 +385,9 @@
                     continue;
                 }
                 controller_client::Action::Hello => Up::Hello(Hello {
-                    node: self.me.to_string(),
+                    node: self.address.to_string(),
                     zone: "z".into(),
-                    life: self.life,
+                    incarnation: self.incarnation,
                     edition: self.edition,
                     term: self.tendril.term(),
                     at: now,
@@ -392,7 +402,7 @@
                     })
                 }
                 controller_client::Action::Take => {
-                    effects.push(Effect::Note(Note::Took {
+                    effects.push(Effect::Observation(Observation::Took {
                         term: self.tendril.term(),
                     }));
                     let answer = word.and_then(|word| self.take(word));
@@ -436,7 +446,7 @@
     fn say(&self, segment: Segment, effects: &mut Effects) {
         if let Some((link, to, _)) = &self.link {
             let message = Message::Link {
-                from: self.me,
+                from: self.address,
                 link: *link,
                 segment,
             };
@@ -504,7 +514,7 @@
         }
     }
 
-    pub fn core(&self) -> Option<&Core> {
+    pub fn core(&self) -> Option<&RaftNode> {
         match self {
             Machine::Sorting(sorting) => Some(&sorting.core),
             Machine::Counter(_) => None,
@@ -512,39 +522,39 @@
     }
 }
 
-impl Node for Machine {
+impl Process for Machine {
     type Message = Message;
-    type Write = Batch;
-    type Disk = Stored;
+    type Write = WriteBatch;
+    type Disk = PersistentState;
     type Call = Call;
-    type Note = Note;
+    type Observation = Observation;
 
-    fn start(boot: &Boot, now: Micros, disk: &Stored) -> (Machine, Effects) {
-        let Boot {
-            me,
+    fn start(boot: &BootOptions, now: Micros, disk: &PersistentState) -> (Machine, Effects) {
+        let BootOptions {
+            address,
             seeds,
             first_run,
             seed,
-            withstand,
-            catch_up,
+            tolerated_failures,
+            recovery_interval,
             ..
         } = boot.clone();
         let mut effects = Vec::new();
-        if seeds.contains(&me) {
-            let (core, actions) = Core::start(
+        if seeds.contains(&address) {
+            let (core, actions) = RaftNode::start(
                 now,
-                Start {
-                    me,
+                Config {
+                    address,
                     seeds,
                     first_run,
                     seed,
-                    withstand,
-                    catch_up,
+                    tolerated_failures,
+                    recovery_interval,
                 },
                 disk.clone(),
             );
             let mut sorting = Sorting {
-                me,
+                address,
                 core,
                 records: Records::default(),
                 roster: Roster::default(),
@@ -560,8 +570,8 @@
             return (Machine::Sorting(Box::new(sorting)), effects);
         }
         let mut counter = Counter {
-            me,
-            life: seed,
+            address,
+            incarnation: seed,
             next_link: 0,
             now,
             tendril: Tendril::new(now, seeds, seed as usize % 1000),
@@ -581,7 +591,7 @@
             Machine::Sorting(sorting) => {
                 match input {
                     Input::Tick => {}
-                    Input::Message(Message::Core(envelope)) => {
+                    Input::Message(Message::Raft(envelope)) => {
                         sorting.event(now, Event::Receive(envelope), &mut effects);
                     }
                     Input::Message(Message::Link {
@@ -592,15 +602,15 @@
                         sorting.segment(now, from, link, segment, &mut effects);
                     }
                     Input::Synced(serial) => {
-                        sorting.event(now, Event::Synced { serial }, &mut effects)
+                        sorting.event(now, Event::Persisted { serial }, &mut effects)
                     }
                     Input::Refused(serial) => {
-                        sorting.event(now, Event::Refused { serial }, &mut effects)
+                        sorting.event(now, Event::WriteFailed { serial }, &mut effects)
                     }
                     Input::Call(Call::Replace(number)) => {
                         sorting.next_ticket += 1;
-                        let ticket = sorting.next_ticket;
-                        sorting.sent.insert(ticket, number);
+                        let request_id = sorting.next_ticket;
+                        sorting.sent.insert(request_id, number);
                         // Some take one piece, some several.
                         let text =
                             format!("{number} ").repeat(if number % 3 == 0 { 9_000 } else { 9 });
@@ -609,7 +619,14 @@
                             text: text.into(),
                         })
                         .pack();
-                        sorting.event(now, Event::Propose { ticket, command }, &mut effects);
+                        sorting.event(
+                            now,
+                            Event::Propose {
+                                request_id,
+                                command,
+                            },
+                            &mut effects,
+                        );
                     }
                 }
                 sorting.event(now, Event::Tick, &mut effects);
@@ -641,7 +658,7 @@
         }
     }
 
-    fn put(disk: &mut Stored, write: Batch) {
+    fn put(disk: &mut PersistentState, write: WriteBatch) {
         write.apply(disk);
     }
 }
--- a/tools/raft-simulation/tests/contact/main.rs
+++ b/tools/raft-simulation/tests/contact/main.rs
@@ -5,9 +5,11 @@
 mod machines;
 mod pipe;
 
-use machines::{Call, Machine, Note};
+use machines::{Call, Machine, Observation};
 use magpieline_raft::Term;
-use magpieline_raft_simulation::{address, Chaos, Fault, Micros, Net, Watch, World, MILLI, SECOND};
+use magpieline_raft_simulation::{
+    address, Fault, FaultInjector, Micros, NetworkProfile, Observer, Simulator, MILLI, SECOND,
+};
 use rstest::rstest;
 use std::collections::HashMap;
 
@@ -41,11 +43,13 @@
     }
 }
 
-impl Watch<Machine> for Checks {
-    fn noted(&mut self, machine: usize, note: Note) {
+impl Observer<Machine> for Checks {
+    fn observed(&mut self, machine: usize, note: Observation) {
         match note {
-            Note::Acknowledged { number, term } => self.acknowledged.push((self.now, number, term)),
-            Note::Took { term } => {
+            Observation::Acknowledged { number, term } => {
+                self.acknowledged.push((self.now, number, term))
+            }
+            Observation::Took { term } => {
                 let before = self.terms.insert(machine, term).unwrap_or(0);
                 assert!(
                     term >= before,
@@ -55,7 +59,7 @@
         }
     }
 
-    fn stepped(&mut self, machine: usize, node: &Machine) {
+    fn after_step(&mut self, machine: usize, node: &Machine) {
         let Some(counter) = node.counter() else {
             return;
         };
@@ -101,14 +105,14 @@
 
 /// Sorting machines first, then counters.
 struct Hall {
-    world: World<Machine>,
+    simulator: Simulator<Machine>,
     checks: Checks,
     next_edition: u64,
 }
 
 impl Hall {
     fn open(seed: u64, sorting: usize, counters: usize) -> Hall {
-        let mut world = World::new(seed, Net::CALM);
+        let mut simulator = Simulator::new(seed, NetworkProfile::RELIABLE);
         let seeds: Vec<_> = (0..sorting).map(address).collect();
         let checks = Checks {
             now: 0,
@@ -117,50 +121,51 @@
             terms: HashMap::new(),
             editions: HashMap::new(),
         };
-        (0..sorting + counters).for_each(|_| _ = world.add(seeds.clone(), true));
+        (0..sorting + counters).for_each(|_| _ = simulator.add(seeds.clone(), true));
         let mut hall = Hall {
-            world,
+            simulator,
             checks,
             next_edition: 1,
         };
         (0..sorting + counters).for_each(|machine| hall.start(machine));
         hall.run_until(2 * SECOND, |hall| hall.leader().is_some());
         hall.replace_until_acknowledged();
-        let end = hall.world.now() + 2 * SECOND;
+        let end = hall.simulator.now() + 2 * SECOND;
         assert!(hall.run_until(end, Hall::all_serve), "counters don't begin");
         hall
     }
 
     fn all(&self) -> std::ops::Range<usize> {
-        0..self.world.machines()
+        0..self.simulator.machines()
     }
 
     fn counters(&self) -> std::ops::Range<usize> {
-        self.checks.sorting..self.world.machines()
+        self.checks.sorting..self.simulator.machines()
     }
 
     fn start(&mut self, machine: usize) {
-        self.checks.now = self.world.now();
-        self.world.start(machine, &mut self.checks);
+        self.checks.now = self.simulator.now();
+        self.simulator.start(machine, &mut self.checks);
     }
 
     fn kill(&mut self, machine: usize) {
-        self.world.kill(machine);
+        self.simulator.kill(machine);
         self.checks.restarted(machine);
     }
 
     /// The newest leader that runs.
     fn leader(&self) -> Option<usize> {
         let leading = (0..self.checks.sorting).filter_map(|machine| {
-            let core = self.world.node(machine)?.core()?;
-            let now = self.world.clock(machine);
-            (core.leads(now) && !self.world.is_frozen(machine)).then_some((core.term(), machine))
+            let core = self.simulator.node(machine)?.core()?;
+            let now = self.simulator.clock(machine);
+            (core.holds_lease(now) && !self.simulator.is_frozen(machine))
+                .then_some((core.term(), machine))
         });
         leading.max().map(|(_, machine)| machine)
     }
 
     fn counter(&self, machine: usize) -> Option<&machines::Counter> {
-        self.world.node(machine)?.counter()
+        self.simulator.node(machine)?.counter()
     }
 
     /// All counters hold a leader, and have the newest edition.
@@ -170,18 +175,18 @@
             self.counter(machine).is_some_and(|counter| {
                 counter.knows()
                     && counter.edition >= newest
-                    && counter.tendril.holds(self.world.clock(machine))
+                    && counter.tendril.holds(self.simulator.clock(machine))
             })
         })
     }
 
     fn step(&mut self) {
-        self.checks.now = self.world.next_at().expect("beats never end");
-        self.world.step(&mut self.checks);
+        self.checks.now = self.simulator.next_at().expect("beats never end");
+        self.simulator.step(&mut self.checks);
         // Frozen ones count: they go on with what they looked at before.
         let lease = |machine: &usize| {
-            let core = self.world.node(*machine).and_then(Machine::core);
-            core.is_some_and(|core| core.leads(self.world.clock(*machine)))
+            let core = self.simulator.node(*machine).and_then(Machine::core);
+            core.is_some_and(|core| core.holds_lease(self.simulator.clock(*machine)))
         };
         let leads: Vec<usize> = (0..self.checks.sorting).filter(lease).collect();
         assert!(leads.len() < 2, "the leases of {leads:?} run at once");
@@ -189,7 +194,7 @@
 
     fn run_until(&mut self, end: Micros, done: impl Fn(&Hall) -> bool) -> bool {
         while !done(self) {
-            if self.world.next_at().is_none_or(|at| at > end) {
+            if self.simulator.next_at().is_none_or(|at| at > end) {
                 return false;
             }
             self.step();
@@ -198,15 +203,15 @@
     }
 
     fn run_for(&mut self, span: Micros) {
-        let end = self.world.now() + span;
+        let end = self.simulator.now() + span;
         self.run_until(end, |_| false);
     }
 
     /// Sends a new edition to a machine; its number.
     fn replace(&mut self, machine: usize) -> u64 {
         self.next_edition += 1;
-        self.checks.now = self.world.now();
-        self.world
+        self.checks.now = self.simulator.now();
+        self.simulator
             .call(machine, Call::Replace(self.next_edition), &mut self.checks);
         self.next_edition
     }
@@ -225,7 +230,7 @@
                 continue;
             };
             let number = self.replace(leader);
-            let end = self.world.now() + 500 * MILLI;
+            let end = self.simulator.now() + 500 * MILLI;
             if self.run_until(end, |hall| hall.is_acknowledged(number)) {
                 return number;
             }
@@ -237,17 +242,17 @@
     fn cut_off(&mut self, machine: usize, deaf: bool, mute: bool) {
         for other in (0..self.checks.sorting).filter(|other| *other != machine) {
             if deaf {
-                self.world.cut(other, machine);
+                self.simulator.cut(other, machine);
             }
             if mute {
-                self.world.cut(machine, other);
+                self.simulator.cut(machine, other);
             }
         }
     }
 
     fn join_all(&mut self) {
         for one in self.all() {
-            self.all().for_each(|other| self.world.join(one, other));
+            self.all().for_each(|other| self.simulator.join(one, other));
         }
     }
 }
@@ -272,8 +277,8 @@
     hall.kill(anew);
     for other in (0..sorting).filter(|other| *other != old) {
         for counter in [stuck, anew] {
-            hall.world.cut(counter, other);
-            hall.world.cut(other, counter);
+            hall.simulator.cut(counter, other);
+            hall.simulator.cut(other, counter);
         }
     }
     // Just before anybody has noticed.
@@ -289,7 +294,7 @@
             "it serves by edition {}",
             counter.edition
         );
-        let now = hall.world.clock(stuck);
+        let now = hall.simulator.clock(stuck);
         assert!(
             !hall.counter(stuck).expect("it runs").tendril.holds(now),
             "it holds a leader of the past"
@@ -298,7 +303,7 @@
     }
     assert!((sorting..sorting + 2).all(|c| hall.counter(c).is_some_and(|c| c.edition >= newest)));
     hall.join_all();
-    let end = hall.world.now() + 2 * SECOND;
+    let end = hall.simulator.now() + 2 * SECOND;
     assert!(hall.run_until(end, Hall::all_serve), "they don't come back");
 }
 
@@ -311,7 +316,7 @@
         let mut hall = Hall::open(seed, 3, 8);
         let old = hall.leader().expect("one");
         hall.cut_off(old, true, mute);
-        let end = hall.world.now() + 2 * SECOND;
+        let end = hall.simulator.now() + 2 * SECOND;
         assert!(hall.run_until(end, |hall| hall
             .leader()
             .is_some_and(|leader| leader != old)));
@@ -327,7 +332,7 @@
 fn a_frozen_leader_thaws(#[values(350, 900, 20_000)] span: u64, #[values(1, 2, 3)] seed: u64) {
     let mut hall = Hall::open(seed, 3, 4);
     let old = hall.leader().expect("one");
-    hall.world.freeze(old);
+    hall.simulator.freeze(old);
     if span >= 900 {
         hall.run_for(span.min(2_000) * MILLI);
         hall.replace_until_acknowledged();
@@ -335,10 +340,10 @@
     } else {
         hall.run_for(span * MILLI);
     }
-    hall.checks.now = hall.world.now();
-    hall.world.thaw(old, &mut hall.checks);
+    hall.checks.now = hall.simulator.now();
+    hall.simulator.thaw(old, &mut hall.checks);
     hall.replace_until_acknowledged();
-    let end = hall.world.now() + 3 * SECOND;
+    let end = hall.simulator.now() + 3 * SECOND;
     assert!(hall.run_until(end, Hall::all_serve), "they don't come back");
 }
 
@@ -351,13 +356,13 @@
     hall.all().for_each(|machine| hall.kill(machine));
     hall.run_for(SECOND);
     hall.all().for_each(|machine| hall.start(machine));
-    let end = hall.world.now() + 1_300 * MILLI;
+    let end = hall.simulator.now() + 1_300 * MILLI;
     assert!(
         hall.run_until(end, |hall| hall.leader().is_some()),
         "no leader"
     );
     // Each asks again within 80 ms.
-    let end = hall.world.now() + 150 * MILLI;
+    let end = hall.simulator.now() + 150 * MILLI;
     assert!(hall.run_until(end, Hall::all_serve), "counters don't begin");
 }
 
@@ -369,25 +374,25 @@
         .unwrap_or(5)
 }
 
-fn endure(seed: u64, sorting: usize, steps: u64) {
+fn run_with_random_faults(seed: u64, sorting: usize, steps: u64) {
     let mut hall = Hall::open(seed, sorting, 4);
-    let mut chaos = Chaos::new(
+    let mut injector = FaultInjector::new(
         seed,
-        hall.world.now(),
+        hall.simulator.now(),
         [SECOND, 4 * SECOND][(seed % 2) as usize],
-        Net::CALM,
+        NetworkProfile::RELIABLE,
     );
     let mut call_at = 0;
-    while hall.world.steps() < steps {
-        let next = chaos.next_at().min(call_at);
-        if hall.world.next_at().is_some_and(|at| at <= next) {
+    while hall.simulator.steps() < steps {
+        let next = injector.next_at().min(call_at);
+        if hall.simulator.next_at().is_some_and(|at| at <= next) {
             hall.step();
             continue;
         }
-        hall.world.pass(next);
+        hall.simulator.pass(next);
         hall.checks.now = next;
-        match chaos.act(&mut hall.world, &mut hall.checks) {
-            None | Some(Fault::Wipe(_) | Fault::Add) => {}
+        match injector.act(&mut hall.simulator, &mut hall.checks) {
+            None | Some(Fault::Wipe(_) | Fault::AddNode) => {}
             Some(fault) => {
                 match fault {
                     Fault::Kill(machine) => hall.checks.restarted(machine),
@@ -396,14 +401,14 @@
                         .for_each(|machine| hall.checks.restarted(machine)),
                     _ => {}
                 }
-                chaos.break_it(&mut hall.world, fault);
+                injector.inject(&mut hall.simulator, fault);
             }
         }
         if next >= call_at {
             call_at = next + 150 * MILLI;
             // All that think they lead are asked.
             let leads = |machine: &usize| {
-                let core = hall.world.node(*machine).and_then(Machine::core);
+                let core = hall.simulator.node(*machine).and_then(Machine::core);
                 core.is_some_and(|core| core.role() == magpieline_raft::Role::Leader)
             };
             let asked: Vec<usize> = (0..sorting).filter(leads).collect();
@@ -412,19 +417,19 @@
                 .for_each(|machine| _ = hall.replace(machine));
         }
     }
-    hall.checks.now = hall.world.now();
-    chaos.end(&mut hall.world, &mut hall.checks);
+    hall.checks.now = hall.simulator.now();
+    injector.end(&mut hall.simulator, &mut hall.checks);
     for machine in hall.all() {
         hall.start(machine);
-        hall.world.thaw(machine, &mut hall.checks);
+        hall.simulator.thaw(machine, &mut hall.checks);
     }
-    let end = hall.world.now() + 12 * SECOND;
+    let end = hall.simulator.now() + 12 * SECOND;
     assert!(
         hall.run_until(end, |hall| hall.leader().is_some()),
         "no leader"
     );
     hall.replace_until_acknowledged();
-    let end = hall.world.now() + 4 * SECOND;
+    let end = hall.simulator.now() + 4 * SECOND;
     assert!(
         hall.run_until(end, Hall::all_serve),
         "counters don't come back"
@@ -437,6 +442,6 @@
     let seeds = seeds();
     for seed in part * seeds..(part + 1) * seeds {
         println!("seed {seed}, {sorting} sorting machines");
-        endure(seed, sorting, 10_000);
+        run_with_random_faults(seed, sorting, 10_000);
     }
 }
--- a/tools/raft-simulation/tests/linearizability.rs
+++ b/tools/raft-simulation/tests/linearizability.rs
@@ -2,14 +2,14 @@
 //! give are let pass.
 
 use magpieline_raft_simulation::linearizability::{
-    check, DocumentAnswer, DocumentAsked, Documents, Fate, RolloutAnswer, RolloutAsked, Rollouts,
-    Seen,
+    check, DocumentAnswer, DocumentAsked, Documents, Fate, RecordedCall, RolloutAnswer,
+    RolloutAsked, Rollouts,
 };
 use rstest::rstest;
 use DocumentAnswer::{Held, Refused, Taken};
 
-type Documented = Seen<DocumentAsked, DocumentAnswer>;
-type Rolled = Seen<RolloutAsked, RolloutAnswer>;
+type Documented = RecordedCall<DocumentAsked, DocumentAnswer>;
+type Rolled = RecordedCall<RolloutAsked, RolloutAnswer>;
 
 fn replace(
     number: u64,
@@ -17,7 +17,7 @@
     sent: u64,
     back: Option<(u64, DocumentAnswer)>,
 ) -> Documented {
-    Seen {
+    RecordedCall {
         asked: DocumentAsked::Replace { number, document },
         sent,
         back,
@@ -25,7 +25,7 @@
 }
 
 fn read(sent: u64, back: u64, held: Option<(u64, u64)>) -> Documented {
-    Seen {
+    RecordedCall {
         asked: DocumentAsked::Read,
         sent,
         back: Some((back, Held(held))),
@@ -33,7 +33,7 @@
 }
 
 fn begin(order: u64, content: u64, sent: u64, back: Option<(u64, RolloutAnswer)>) -> Rolled {
-    Seen {
+    RecordedCall {
         asked: RolloutAsked::Begin { order, content },
         sent,
         back,
@@ -41,7 +41,7 @@
 }
 
 fn state(sent: u64, back: u64, newest: Option<(u64, Fate)>) -> Rolled {
-    Seen {
+    RecordedCall {
         asked: RolloutAsked::State,
         sent,
         back: Some((back, RolloutAnswer::Newest(newest))),
--- a/tools/raft-simulation/tests/long_run.rs
+++ b/tools/raft-simulation/tests/long_run.rs
@@ -1,15 +1,15 @@
 //! Changes one after the other, and machines in trouble meanwhile, each up again within the bound. The long runs go by
 //! hand: `raft-simulation season`.
 
-use magpieline_raft_simulation::{Net, Season, Sowing, MILLI, SECOND};
+use magpieline_raft_simulation::{LongRun, LongRunConfig, NetworkProfile, MILLI, SECOND};
 
 /// As a small deployment's: 51 Mbit/s and half a millisecond.
-fn sowing(seed: u64) -> Sowing {
-    let net = Net {
+fn config(seed: u64) -> LongRunConfig {
+    let net = NetworkProfile {
         delay: 500,
-        ..Net::CALM
+        ..NetworkProfile::RELIABLE
     };
-    Sowing {
+    LongRunConfig {
         seed,
         machines: 3,
         net,
@@ -17,7 +17,7 @@
         changes: 150,
         size: 20_000,
         pause: 100 * MILLI,
-        catch_up: 4 * SECOND,
+        recovery_interval: 4 * SECOND,
     }
 }
 
@@ -26,24 +26,21 @@
 #[test]
 fn members_are_up_in_time_while_small_changes_go_on() {
     for seed in 0..1 {
-        let harvest = Season::sow(sowing(seed)).harvest();
-        assert!(
-            harvest.acknowledged >= 150 && harvest.trials > 6,
-            "{harvest:?}"
-        );
+        let run = LongRun::new(config(seed)).run();
+        assert!(run.acknowledged >= 150 && run.disruptions > 6, "{run:?}");
     }
 }
 
 /// The same with configurations that are longer than the log may be.
 #[test]
 fn members_are_up_in_time_while_large_changes_go_on() {
-    let harvest = Season::sow(Sowing {
+    let run = LongRun::new(LongRunConfig {
         changes: 6,
         size: 4_300_000,
         pause: 300 * MILLI,
-        ..sowing(7)
+        ..config(7)
     })
-    .harvest();
-    assert!(harvest.acknowledged >= 6, "{harvest:?}");
-    assert!(harvest.most_on_disk < 200 << 20, "{harvest:?}");
+    .run();
+    assert!(run.acknowledged >= 6, "{run:?}");
+    assert!(run.most_on_disk < 200 << 20, "{run:?}");
 }
--- a/tools/raft-simulation/tests/replaced.rs
+++ b/tools/raft-simulation/tests/replaced.rs
@@ -1,7 +1,7 @@
-//! Machines that are lost or leave for good, and successors at new addresses: the next losses that `withstand` allows
+//! Machines that are lost or leave for good, and successors at new addresses: the next losses that `tolerated_failures` allows
 //! come as soon as they may, and find a leader.
 
-use magpieline_raft_simulation::{address, Grove, Net, Planting, MILLI, SECOND};
+use magpieline_raft_simulation::{address, Cluster, ClusterConfig, NetworkProfile, MILLI, SECOND};
 use rstest::rstest;
 
 const CATCH_UP: u64 = 4 * SECOND;
@@ -9,30 +9,34 @@
 const LED_WITHIN: u64 = 5 * SECOND;
 
 /// Machines with a leader that has led for a second.
-fn grown(machines: usize, seed: u64) -> Grove {
-    let mut grove = Grove::plant(Planting {
+fn grown(machines: usize, seed: u64) -> Cluster {
+    let mut cluster = Cluster::new(ClusterConfig {
         seed,
         machines,
-        net: Net::CALM,
+        net: NetworkProfile::RELIABLE,
     });
     assert!(
-        grove.run_until(SECOND, |grove| grove.leader().is_some()),
+        cluster.run_until(SECOND, |cluster| cluster.leader().is_some()),
         "a first leader within a second"
     );
-    grove.run_for(CATCH_UP);
-    grove
+    cluster.run_for(CATCH_UP);
+    cluster
 }
 
-fn is_led(grove: &mut Grove) {
-    grove.run_for(LED_WITHIN);
-    assert!(grove.leader().is_some(), "no leader: {}", grove.report());
+fn is_led(cluster: &mut Cluster) {
+    cluster.run_for(LED_WITHIN);
+    assert!(
+        cluster.leader().is_some(),
+        "no leader: {}",
+        cluster.report()
+    );
 }
 
-fn ends(grove: &mut Grove, machine: usize, in_order: bool) {
+fn ends(cluster: &mut Cluster, machine: usize, in_order: bool) {
     if in_order {
-        return grove.leave(machine);
+        return cluster.leave(machine);
     }
-    grove.world.kill(machine);
+    cluster.simulator.kill(machine);
 }
 
 #[rstest]
@@ -42,73 +46,74 @@
     #[values(true, false)] successor_first: bool,
     #[values(0, 1, 2)] seed: u64,
 ) {
-    let mut grove = grown(machines, 100 + seed);
-    let withstand = (machines - 1) / 2;
-    let old = (grove.leader().unwrap() + seed as usize) % machines;
+    let mut cluster = grown(machines, 100 + seed);
+    let tolerated_failures = (machines - 1) / 2;
+    let old = (cluster.leader().unwrap() + seed as usize) % machines;
     if successor_first {
-        grove.add_with(vec![address(old)]);
-        grove.run_for(CATCH_UP);
+        cluster.add_with(vec![address(old)]);
+        cluster.run_for(CATCH_UP);
     }
-    ends(&mut grove, old, in_order);
+    ends(&mut cluster, old, in_order);
     if !successor_first {
-        grove.run_for(SECOND);
-        grove.add_with(vec![address((old + 1) % machines), address(old)]);
+        cluster.run_for(SECOND);
+        cluster.add_with(vec![address((old + 1) % machines), address(old)]);
     }
-    grove.run_for(CATCH_UP);
-    let lost: Vec<usize> = (1..=withstand)
+    cluster.run_for(CATCH_UP);
+    let lost: Vec<usize> = (1..=tolerated_failures)
         .map(|step| (old + step) % machines)
         .collect();
-    lost.iter().for_each(|machine| grove.world.kill(*machine));
-    is_led(&mut grove);
-    lost.iter().for_each(|machine| grove.start(*machine));
-    is_led(&mut grove);
+    lost.iter()
+        .for_each(|machine| cluster.simulator.kill(*machine));
+    is_led(&mut cluster);
+    lost.iter().for_each(|machine| cluster.start(*machine));
+    is_led(&mut cluster);
 }
 
 /// Guards a rolling restart: each machine, the leader among them, has left soon after SIGTERM, is a voter again at its
 /// address as it was, and nobody is without a leader for long.
 #[rstest]
 fn a_rolling_restart_is_quick(#[values(3, 5)] machines: usize, #[values(0, 1, 2)] seed: u64) {
-    let mut grove = grown(machines, 200 + seed);
-    let voters = |grove: &Grove| {
-        grove
-            .tree(grove.leader().unwrap())
+    let mut cluster = grown(machines, 200 + seed);
+    let voters = |cluster: &Cluster| {
+        cluster
+            .node(cluster.leader().unwrap())
             .unwrap()
             .core()
             .voters()
             .to_vec()
     };
-    let before = voters(&grove);
+    let before = voters(&cluster);
     for machine in 0..machines {
-        let begun = grove.world.now();
-        grove.leave(machine);
+        let begun = cluster.simulator.now();
+        cluster.leave(machine);
         assert!(
-            grove.world.now() - begun < 250 * MILLI,
+            cluster.simulator.now() - begun < 250 * MILLI,
             "{} us",
-            grove.world.now() - begun
+            cluster.simulator.now() - begun
         );
-        let led = |grove: &Grove| grove.leader().is_some_and(|leader| leader != machine);
-        let end = grove.world.now() + 50 * MILLI;
-        assert!(grove.run_until(end, led), "{}", grove.report());
-        grove.revive(machine);
-        grove.run_for(CATCH_UP);
+        let led = |cluster: &Cluster| cluster.leader().is_some_and(|leader| leader != machine);
+        let end = cluster.simulator.now() + 50 * MILLI;
+        assert!(cluster.run_until(end, led), "{}", cluster.report());
+        cluster.revive(machine);
+        cluster.run_for(CATCH_UP);
     }
-    assert_eq!(voters(&grove), before);
+    assert_eq!(voters(&cluster), before);
 }
 
-/// Guards the seat of a machine that stops while one waits: it is the other's before the process ends.
+/// Guards the node_id of a machine that stops while one waits: it is the other's before the process ends.
 #[rstest]
 fn a_seat_is_handed_on_before_the_end(
     #[values(3, 5)] machines: usize,
     #[values(0, 1, 2)] seed: u64,
 ) {
-    let mut grove = grown(machines, 300 + seed);
-    let old = (grove.leader().unwrap() + seed as usize) % machines;
-    let seat = grove.tree(old).unwrap().core().me();
-    let new = grove.add_with(vec![address(old)]);
-    grove.run_for(SECOND);
-    grove.leave(old);
-    let leader = grove.leader().expect("one leads all the while");
-    let voters = grove.tree(leader).unwrap().core().voters();
-    assert!(!voters.contains(&seat), "{}", grove.report());
-    assert!(voters.contains(&grove.tree(new).unwrap().core().me()));
+    let mut cluster = grown(machines, 300 + seed);
+    let old = (cluster.leader().unwrap() + seed as usize) % machines;
+    let node_id = cluster.node(old).unwrap().core().id();
+    let new = cluster.add_with(vec![address(old)]);
+    cluster.run_for(SECOND);
+    cluster.leave(old);
+    let leader = cluster.leader().expect("one leads all the while");
+    let voters = cluster.node(leader).unwrap().core().voters();
+    assert!(!voters.contains(&node_id), "{}", cluster.report());
+    assert!(voters.contains(&cluster.node(new).unwrap().core().id()));
 }
--- a/tools/raft-simulation/tests/seeds.rs
+++ b/tools/raft-simulation/tests/seeds.rs
@@ -1,6 +1,6 @@
 //! Things break by chance. The binary plays thousands of seeds; these few go with every change.
 
-use magpieline_raft_simulation::{Grove, Net, Planting, MILLI};
+use magpieline_raft_simulation::{Cluster, ClusterConfig, NetworkProfile, MILLI};
 use rstest::rstest;
 
 /// Guards everything that the grove checks, under kills, wipes, freezes, cuts, bad disks and rough links.
@@ -9,12 +9,12 @@
     for seed in part * 10..part * 10 + 10 {
         // A failure says its seed: raft-simulation run --seeds SEED..SEED+1 --machines MACHINES --steps 5000
         println!("seed {seed}, {machines} machines, 5000 steps");
-        Grove::plant(Planting {
+        Cluster::new(ClusterConfig {
             seed,
             machines,
-            net: Net::CALM,
+            net: NetworkProfile::RELIABLE,
         })
-        .endure(seed, 5_000);
+        .run_with_random_faults(seed, 5_000);
     }
 }
 
@@ -24,17 +24,17 @@
 #[rstest]
 fn losses_that_are_to_be_borne_leave_a_leader(
     #[values(3, 5)] machines: usize,
-    #[values(4_000, 6_000)] catch_up: u64,
+    #[values(4_000, 6_000)] recovery_interval: u64,
 ) {
     for seed in 0..12 {
         // A failure says its seed: raft-simulation losses --seeds SEED..SEED+1 --machines MACHINES --catch-up CATCH_UP
-        println!("seed {seed}, {machines} machines, {catch_up} ms");
-        let planting = Planting {
+        println!("seed {seed}, {machines} machines, {recovery_interval} ms");
+        let planting = ClusterConfig {
             seed,
             machines,
-            net: Net::CALM,
+            net: NetworkProfile::RELIABLE,
         };
-        Grove::plant_for(planting, (machines - 1) / 2, catch_up * MILLI)
-            .endure_losses(seed, 20_000);
+        Cluster::with_tolerance(planting, (machines - 1) / 2, recovery_interval * MILLI)
+            .run_with_bounded_failures(seed, 20_000);
     }
 }
