--- a/crates/config/src/node_settings.rs
+++ b/crates/config/src/node_settings.rs
@@ -1,7 +1,7 @@
-//! The settings file: what the platform tells a machine of itself, of the network and of the rules in force.
-//! Unknown fields are skipped; what is absent and has a sound default gets it.
+//! The settings file of a node: what the platform tells a machine of itself, of the network and of the rules in force. Unknown
+//! fields are skipped, and absent ones have defaults.
 
-use crate::place::{quoted, under, Complaint};
+use crate::diagnostic::{child, quoted, Diagnostic};
 use crate::{durations, Micros};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -9,48 +9,60 @@
 
 /// What a machine is told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Machine {
+pub struct NodeSettings {
+    /// Its name.
     pub node: String,
-    pub class: String,
+    /// Its class (`counter` or `sorting`).
+    pub machine_class: String,
+    /// Its address.
     pub ip: Ipv4Addr,
+    /// Its zone.
     pub zone: String,
+    /// Its region.
     pub region: String,
     /// Whether this is the first start of the whole system.
     pub first_run: bool,
-    /// Where data may be kept; none on machines without a disk.
-    pub store: Option<String>,
+    /// Where data may be stored; none on machines without a disk.
+    pub store_dir: Option<String>,
+    /// Its memory, in MB.
     pub memory_mb: u64,
-    pub descriptors: u64,
+    /// File descriptors that a process may have.
+    pub max_descriptors: u64,
+    /// Its disk, in MB.
     pub disk_mb: u64,
     /// First and last port that agents may use among themselves.
-    pub inner_ports: (u16, u16),
-    /// Addresses at which some of the sorting machines are called, as of when the file was written.
-    pub seeds: Vec<SocketAddrV4>,
-    /// Addresses at which this machine serves, by what it serves.
-    pub posts: BTreeMap<String, SocketAddrV4>,
+    pub agent_ports: (u16, u16),
+    /// Where some of the controllers take operators' calls, as of when the file was written.
+    pub controller_seeds: Vec<SocketAddrV4>,
+    /// Where this machine listens, by what it serves there.
+    pub listen_addresses: BTreeMap<String, SocketAddrV4>,
     /// Zones and their regions.
     pub zones: BTreeMap<String, String>,
-    pub carrier: Carrier,
-    /// What may be lost at once while all rules are kept: machines.
-    pub withstand: u64,
-    /// The same: zones and regions, whatever stands in them.
-    pub withstand_areas: u64,
-    pub terms: Terms,
+    /// The platform's list of endpoints.
+    pub platform: PlatformApi,
+    /// How many machines may fail at once while all rules are kept.
+    pub tolerated_machines: u64,
+    /// How many zones and regions may, whatever is in them.
+    pub tolerated_areas: u64,
+    /// The figures of the rules.
+    pub guarantees: Guarantees,
 }
 
-/// The platform's list of appliances.
+/// The platform's list of endpoints.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Carrier {
+pub struct PlatformApi {
+    /// Where it is.
     pub address: Option<SocketAddrV4>,
-    /// Calls a second that it takes from all agents together.
-    pub per_s: f64,
-    /// How far the list runs behind.
+    /// Calls a second that it accepts from all agents together.
+    pub calls_per_second: f64,
+    /// How far the list is behind.
     pub lag: Micros,
 }
 
-/// Figures of the rules. Names are those of the settings file.
+/// The figures of the rules, under the names that they have in the settings file. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+#[allow(missing_docs, reason = "the operators' pages define these figures")]
+pub struct Guarantees {
     pub seed_lag: Micros,
     pub reuse_after: Micros,
     pub contact: Micros,
@@ -68,68 +80,92 @@
     pub recall: Micros,
 }
 
-/// Reads fields of one table and gathers all complaints, so that an operator sees them at once.
+/// Reads the fields of one table, and gathers all diagnostics, so that an operator sees them at once.
 struct Fields<'a> {
     table: Option<&'a Table>,
-    place: &'a str,
-    wrong: &'a mut Vec<Complaint>,
+    path: &'a str,
+    diagnostics: &'a mut Vec<Diagnostic>,
 }
 
 impl<'a> Fields<'a> {
-    fn complain(&mut self, name: &str, found: Option<&Value>, expected: &str) {
+    /// The fields of the table at `path`, which joins its names by dots.
+    fn of(root: &'a Table, path: &'a str, diagnostics: &'a mut Vec<Diagnostic>) -> Fields<'a> {
+        let subtable = |table: &'a Table, name| table.get(name)?.as_table();
+        let table = path.split('.').try_fold(root, subtable);
+        Fields {
+            table,
+            path,
+            diagnostics,
+        }
+    }
+
+    fn report(&mut self, name: &str, found: Option<&Value>, expected: &str) {
         let found = found.map_or("nothing".to_owned(), shown);
-        self.wrong
-            .push(Complaint::new(under(self.place, name), found, expected));
+        self.diagnostics
+            .push(Diagnostic::new(child(self.path, name), found, expected));
     }
+
     fn get(&self, name: &str) -> Option<&'a Value> {
         self.table?.get(name)
     }
+
+    fn entries(&self) -> impl Iterator<Item = (&'a String, &'a Value)> {
+        self.table.into_iter().flatten()
+    }
+
     fn text(&mut self, name: &str) -> String {
         match self.get(name) {
             Some(Value::String(text)) if !text.is_empty() => text.clone(),
             other => {
-                self.complain(name, other, "a text");
+                self.report(name, other, "a text");
                 String::new()
             }
         }
     }
-    fn flag(&mut self, name: &str, otherwise: bool) -> bool {
+
+    fn flag(&mut self, name: &str, default: bool) -> bool {
         match self.get(name) {
-            None => otherwise,
+            None => default,
             Some(Value::Boolean(flag)) => *flag,
             other => {
-                self.complain(name, other, "true or false");
-                otherwise
+                self.report(name, other, "true or false");
+                default
             }
         }
     }
-    fn number(&mut self, name: &str, otherwise: f64) -> f64 {
+
+    fn number(&mut self, name: &str, default: f64) -> f64 {
         let value = match self.get(name) {
-            None => return otherwise,
-            Some(Value::Integer(whole)) => *whole as f64,
+            None => return default,
+            Some(Value::Integer(number)) => *number as f64,
             Some(Value::Float(number)) => *number,
             Some(_) => f64::NAN,
         };
         if value.is_finite() && value >= 0.0 {
             return value;
         }
-        self.complain(name, self.get(name), "a number of 0 or more");
-        otherwise
+        self.report(name, self.get(name), "a number of 0 or more");
+        default
     }
-    fn time(&mut self, name: &str, otherwise: &str) -> Micros {
-        let otherwise = durations::read(otherwise).unwrap_or(0);
-        match self.get(name) {
-            None => otherwise,
-            Some(value) => value.as_str().and_then(durations::read).unwrap_or_else(|| {
-                self.complain(name, Some(value), "a time such as 1500ms or 2.5s");
-                otherwise
-            }),
-        }
+
+    fn duration(&mut self, name: &str, default: &str) -> Micros {
+        let default = durations::parse(default).unwrap_or(0);
+        let Some(value) = self.get(name) else {
+            return default;
+        };
+        value
+            .as_str()
+            .and_then(durations::parse)
+            .unwrap_or_else(|| {
+                self.report(name, Some(value), "a time such as 1500ms or 2.5s");
+                default
+            })
     }
+
     fn address(&mut self, name: &str, value: &Value) -> Option<SocketAddrV4> {
         let address = value.as_str().and_then(|text| text.parse().ok());
         if address.is_none() {
-            self.complain(
+            self.report(
                 name,
                 Some(value),
                 "an address and a port such as 10.0.0.4:8080",
@@ -137,8 +173,44 @@
         }
         address
     }
+
+    fn ip(&mut self, name: &str) -> Ipv4Addr {
+        self.text(name).parse().unwrap_or_else(|_| {
+            self.report(name, self.get(name), "an IPv4 address");
+            Ipv4Addr::UNSPECIFIED
+        })
+    }
+
+    /// A range of ports, from the first to the last.
+    fn ports(&mut self, name: &str) -> (u16, u16) {
+        let value = self.get(name);
+        if let Some([Value::Integer(first), Value::Integer(last)]) =
+            value.and_then(Value::as_array).map(Vec::as_slice)
+        {
+            let port = |number: i64| u16::try_from(number).ok().filter(|port| *port > 0);
+            if let (Some(first), Some(last)) = (port(*first), port(*last)) {
+                if first <= last {
+                    return (first, last);
+                }
+            }
+        }
+        self.report(name, value, "two ports, the first and the last");
+        (0, 0)
+    }
+
+    fn addresses(&mut self, name: &str) -> Vec<SocketAddrV4> {
+        let list = self
+            .get(name)
+            .and_then(Value::as_array)
+            .cloned()
+            .unwrap_or_default();
+        list.iter()
+            .filter_map(|value| self.address(name, value))
+            .collect()
+    }
 }
 
+/// Returns what a TOML value looks like in a diagnostic.
 fn shown(value: &Value) -> String {
     match value {
         Value::String(text) => quoted(text),
@@ -151,257 +223,132 @@
     }
 }
 
-impl Machine {
-    /// Reads a settings file. All that is wrong with it is returned at once.
-    pub fn read(text: &str) -> Result<Machine, Vec<Complaint>> {
-        let root: Table = match text.parse() {
-            Ok(root) => root,
-            Err(e) => {
-                let at = e.span().map_or(0, |s| s.start.min(text.len()));
-                let line = text.as_bytes()[..at]
-                    .iter()
-                    .filter(|b| **b == b'\n')
-                    .count()
-                    + 1;
-                return Err(vec![Complaint::new(
-                    format!("line {line}"),
-                    e.message(),
-                    "TOML",
-                )]);
-            }
-        };
-        let mut wrong = Vec::new();
-        let part = |names: &[&str]| -> Option<&Table> {
-            let mut table = &root;
-            for name in names {
-                table = table.get(*name)?.as_table()?;
-            }
-            Some(table)
-        };
+/// Parses TOML; a syntax error is reported with its line.
+fn parse_table(text: &str) -> Result<Table, Diagnostic> {
+    text.parse().map_err(|error: toml::de::Error| {
+        let offset = error.span().map_or(0, |span| span.start.min(text.len()));
+        let newlines = text.as_bytes()[..offset]
+            .iter()
+            .filter(|byte| **byte == b'\n')
+            .count();
+        Diagnostic::new(format!("line {}", newlines + 1), error.message(), "TOML")
+    })
+}
 
-        let mut own = Fields {
-            table: part(&["self"]),
-            place: "self",
-            wrong: &mut wrong,
-        };
-        let (node, class) = (own.text("node"), own.text("machine_class"));
+impl NodeSettings {
+    /// Parses a settings file.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with it.
+    pub fn parse(text: &str) -> Result<NodeSettings, Vec<Diagnostic>> {
+        let root = parse_table(text).map_err(|diagnostic| vec![diagnostic])?;
+        let mut diagnostics = Vec::new();
+        let settings = NodeSettings::from_table(&root, &mut diagnostics);
+        if diagnostics.is_empty() {
+            Ok(settings)
+        } else {
+            Err(diagnostics)
+        }
+    }
+
+    fn from_table(root: &Table, diagnostics: &mut Vec<Diagnostic>) -> NodeSettings {
+        let mut own = Fields::of(root, "self", diagnostics);
+        let (node, machine_class) = (own.text("node"), own.text("machine_class"));
         let (zone, region) = (own.text("zone"), own.text("region"));
         let first_run = own.flag("first_run", false);
-        let ip = own.text("ip").parse().unwrap_or_else(|_| {
-            own.complain("ip", own.get("ip"), "an IPv4 address");
-            Ipv4Addr::UNSPECIFIED
-        });
-        let store = own.get("store_dir").map(|_| own.text("store_dir"));
+        let ip = own.ip("ip");
+        let store_dir = own.get("store_dir").map(|_| own.text("store_dir"));
 
-        let table = part(&["self", "allowances"]);
-        let mut bounds = Fields {
-            table,
-            place: "self.allowances",
-            wrong: &mut wrong,
-        };
-        let memory_mb = bounds.number("memory_mb", 256.0) as u64;
-        let descriptors = bounds.number("file_handles", 1024.0) as u64;
-        let disk_mb = bounds.number("disk_mb", 0.0) as u64;
+        let mut limits = Fields::of(root, "self.allowances", diagnostics);
+        let memory_mb = limits.number("memory_mb", 256.0) as u64;
+        let max_descriptors = limits.number("file_handles", 1024.0) as u64;
+        let disk_mb = limits.number("disk_mb", 0.0) as u64;
 
-        let mut net = Fields {
-            table: part(&["network"]),
-            place: "network",
-            wrong: &mut wrong,
-        };
-        let inner_ports = match net
-            .get("inner_ports")
-            .and_then(Value::as_array)
-            .map(Vec::as_slice)
-        {
-            Some([Value::Integer(first), Value::Integer(last)])
-                if (1..=65535).contains(first) && (first..=&65535).contains(&last) =>
-            {
-                (*first as u16, *last as u16)
-            }
-            _ => {
-                net.complain(
-                    "inner_ports",
-                    net.get("inner_ports"),
-                    "two ports, the first and the last",
-                );
-                (0, 0)
-            }
-        };
-        let listed = net
-            .get("seed_depots")
-            .and_then(Value::as_array)
-            .cloned()
-            .unwrap_or_default();
-        let seeds = listed
-            .iter()
-            .filter_map(|value| net.address("seed_depots", value))
-            .collect();
-        let table = part(&["network", "posts"]);
-        let mut posts = Fields {
-            table,
-            place: "network.posts",
-            wrong: &mut wrong,
-        };
-        let posts = table
-            .into_iter()
-            .flatten()
-            .filter_map(|(name, value)| Some((name.clone(), posts.address(name, value)?)))
-            .collect();
-        let zones = part(&["network", "zones"])
-            .into_iter()
-            .flatten()
-            .filter_map(|(zone, region)| Some((zone.clone(), region.as_str()?.to_owned())))
-            .collect();
-
-        let table = part(&["carrier", "carrier_api"]);
-        let mut api = Fields {
-            table,
-            place: "carrier.carrier_api",
-            wrong: &mut wrong,
-        };
-        let address = api
-            .get("address")
-            .and_then(|value| api.address("address", value));
-        let carrier = Carrier {
-            address,
-            per_s: api.number("per_s", 10.0),
-            lag: api.time("lag", "1s"),
-        };
+        let mut network = Fields::of(root, "network", diagnostics);
+        let agent_ports = network.ports("inner_ports");
+        let controller_seeds = network.addresses("seed_depots");
+        let listen_addresses = listen_addresses(root, diagnostics);
+        let zones = zones(root, diagnostics);
+        let platform = PlatformApi::from_table(root, diagnostics);
 
-        let table = part(&["provisions", "withstand"]);
-        let mut may = Fields {
-            table,
-            place: "provisions.withstand",
-            wrong: &mut wrong,
-        };
-        let withstand = may.number("machines", 1.0) as u64;
-        let withstand_areas = (may.number("zones", 0.0) + may.number("regions", 0.0)) as u64;
-        let table = part(&["provisions", "guarantees"]);
-        let mut told = Fields {
-            table,
-            place: "provisions.guarantees",
-            wrong: &mut wrong,
-        };
-        let terms = Terms {
-            seed_lag: told.time("seed_lag", "3s"),
-            reuse_after: told.time("reuse_after", "2s"),
-            contact: told.time("contact", "3s"),
-            receipt: told.time("receipt", "5s"),
-            catch_up: told.time("catch_up", "4s"),
-            drain: told.time("drain", "2500ms"),
-            grace: told.time("grace", "6s"),
-            edition_time: told.time("edition_time", "2500ms"),
-            outer: told.time("outer", "8s"),
-            retry_ratio: told.number("retry_ratio", 0.1),
-            retry_window: told.time("retry_window", "10s"),
-            retry_slack: told.number("retry_slack", 10.0),
-            expose_share: told.number("expose_share", 0.05),
-            expose_slack: told.number("expose_slack", 10.0),
-            recall: told.time("recall", "5s"),
-        };
-        let machine = Machine {
+        let mut tolerated = Fields::of(root, "provisions.withstand", diagnostics);
+        let tolerated_machines = tolerated.number("machines", 1.0) as u64;
+        let tolerated_areas =
+            (tolerated.number("zones", 0.0) + tolerated.number("regions", 0.0)) as u64;
+        NodeSettings {
             node,
-            class,
+            machine_class,
             ip,
             zone,
             region,
             first_run,
-            store,
+            store_dir,
             memory_mb,
-            descriptors,
+            max_descriptors,
             disk_mb,
-            inner_ports,
-            seeds,
-            posts,
+            agent_ports,
+            controller_seeds,
+            listen_addresses,
             zones,
-            carrier,
-            withstand,
-            withstand_areas,
-            terms,
-        };
-        if wrong.is_empty() {
-            Ok(machine)
-        } else {
-            Err(wrong)
+            platform,
+            tolerated_machines,
+            tolerated_areas,
+            guarantees: Guarantees::from_table(root, diagnostics),
         }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn listen_addresses(
+    root: &Table,
+    diagnostics: &mut Vec<Diagnostic>,
+) -> BTreeMap<String, SocketAddrV4> {
+    let mut posts = Fields::of(root, "network.posts", diagnostics);
+    let entries: Vec<_> = posts.entries().collect();
+    let address =
+        |(name, value): (&String, &Value)| Some((name.clone(), posts.address(name, value)?));
+    entries.into_iter().filter_map(address).collect()
+}
 
-    const SOUND: &str = r#"
-new_table = { anything = 1 }
-[self]
-node = "n-1"
-machine_class = "counter"
-ip = "10.1.0.13"
-zone = "a"
-region = "r"
-first_run = true
-[self.allowances]
-memory_mb = 260
-[network]
-inner_ports = [7720,7735]
-seed_depots = ["10.1.0.16:8166"]
-[network.posts]
-front = "10.1.0.13:8161"
-[carrier.carrier_api]
-address = "10.200.0.79:8169"
-per_s = 47.0
-lag = "800ms"
-[provisions.guarantees]
-drain = "2.5s"
-retry_slack = 58
-"#;
+fn zones(root: &Table, diagnostics: &mut Vec<Diagnostic>) -> BTreeMap<String, String> {
+    let zones = Fields::of(root, "network.zones", diagnostics);
+    let region =
+        |(zone, region): (&String, &Value)| Some((zone.clone(), region.as_str()?.to_owned()));
+    zones.entries().filter_map(region).collect()
+}
 
-    /// Guards against a machine that does not start because the platform told it more, or less, than before.
-    #[test]
-    fn unknown_fields_are_skipped_and_absent_ones_have_defaults() {
-        let machine = Machine::read(SOUND).expect("sound");
-        assert_eq!(
-            (machine.inner_ports, machine.memory_mb, machine.first_run),
-            ((7720, 7735), 260, true)
-        );
-        assert_eq!(
-            (machine.terms.drain, machine.terms.retry_slack),
-            (2_500_000, 58.0)
-        );
-        assert_eq!(
-            (machine.terms.grace, machine.store, machine.carrier.lag),
-            (6_000_000, None, 800_000)
-        );
-        assert_eq!(
-            machine.posts["front"],
-            "10.1.0.13:8161".parse().expect("address")
-        );
+impl PlatformApi {
+    fn from_table(root: &Table, diagnostics: &mut Vec<Diagnostic>) -> PlatformApi {
+        let mut api = Fields::of(root, "carrier.carrier_api", diagnostics);
+        PlatformApi {
+            address: api
+                .get("address")
+                .and_then(|value| api.address("address", value)),
+            calls_per_second: api.number("per_s", 10.0),
+            lag: api.duration("lag", "1s"),
+        }
     }
+}
 
-    /// Guards against an operator who has to mend a file one complaint at a time.
-    #[test]
-    fn all_complaints_come_at_once_with_their_places() {
-        let odd = SOUND
-            .replace("\"2.5s\"", "\"soon\"")
-            .replace("[7720,7735]", "[7735]")
-            .replace("node = \"n-1\"", "");
-        let wrong = Machine::read(&odd).expect_err("three things are wrong");
-        let places: Vec<&str> = wrong.iter().map(|c| c.place.as_str()).collect();
-        assert_eq!(
-            places,
-            [
-                "self.node",
-                "network.inner_ports",
-                "provisions.guarantees.drain"
-            ]
-        );
-        assert_eq!(
-            wrong[2].to_string(),
-            "provisions.guarantees.drain: found 'soon', expected a time such as 1500ms or 2.5s"
-        );
-        assert_eq!(
-            Machine::read("[self").expect_err("no TOML")[0].place,
-            "line 1"
-        );
+impl Guarantees {
+    fn from_table(root: &Table, diagnostics: &mut Vec<Diagnostic>) -> Guarantees {
+        let mut guarantees = Fields::of(root, "provisions.guarantees", diagnostics);
+        Guarantees {
+            seed_lag: guarantees.duration("seed_lag", "3s"),
+            reuse_after: guarantees.duration("reuse_after", "2s"),
+            contact: guarantees.duration("contact", "3s"),
+            receipt: guarantees.duration("receipt", "5s"),
+            catch_up: guarantees.duration("catch_up", "4s"),
+            drain: guarantees.duration("drain", "2500ms"),
+            grace: guarantees.duration("grace", "6s"),
+            edition_time: guarantees.duration("edition_time", "2500ms"),
+            outer: guarantees.duration("outer", "8s"),
+            retry_ratio: guarantees.number("retry_ratio", 0.1),
+            retry_window: guarantees.duration("retry_window", "10s"),
+            retry_slack: guarantees.number("retry_slack", 10.0),
+            expose_share: guarantees.number("expose_share", 0.05),
+            expose_slack: guarantees.number("expose_slack", 10.0),
+            recall: guarantees.duration("recall", "5s"),
+        }
     }
 }
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -6,75 +6,78 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Sort {
-    /// It may.
-    Safe,
-    /// At most once for each try of a client.
-    Unsafe,
+pub enum Idempotency {
+    /// It may be retried (`safe`).
+    Idempotent,
+    /// It runs at most once for each try of a client (`unsafe`).
+    NonIdempotent,
 }
 
-/// A service and its share of a route's requests.
+/// A service, and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct Destination {
+    /// The service's name.
     pub service: Arc<str>,
-    pub share: f64,
+    /// Its weight among the route's destinations.
+    pub weight: f64,
 }
 
 /// One route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
+    /// Its name.
     pub name: Arc<str>,
-    pub sort: Sort,
-    /// Within this time an answer earns its full worth.
-    pub target: Micros,
-    /// Rank; 0 is highest.
+    /// Whether its requests may run more than once.
+    pub idempotency: Idempotency,
+    /// An answer within this time earns its full worth.
+    pub latency_target: Micros,
+    /// Its rank; 0 is highest.
     pub precedence: u32,
+    /// What its paths begin with.
     pub prefix: String,
-    /// Where its requests go; shares above 0 only.
-    pub parts: Vec<Part>,
-    /// The longest time that a request may be held.
-    pub give_up: Micros,
-    /// The largest number of appliances that one try may be sent to; at least 1.
-    pub tries: u32,
+    /// Where its requests go; weights above 0 only.
+    pub destinations: Vec<Destination>,
+    /// The longest time that a request may be kept (`give_up`).
+    pub timeout: Micros,
+    /// The largest number of endpoints that one try of a client may be sent to (`tries`); at least 1.
+    pub max_attempts: u32,
 }
 
 impl Route {
-    /// The service that a draw from [0, 1) falls on.
-    pub fn part(&self, draw: f64) -> &Part {
-        let all: f64 = self.parts.iter().map(|p| p.share).sum();
-        let mut left = draw.clamp(0.0, 1.0) * all;
-        for part in &self.parts {
-            left -= part.share;
+    /// Returns the destination that a draw from [0, 1) falls on.
+    pub fn destination(&self, draw: f64) -> &Destination {
+        let total: f64 = self
+            .destinations
+            .iter()
+            .map(|destination| destination.weight)
+            .sum();
+        let mut left = draw.clamp(0.0, 1.0) * total;
+        for destination in &self.destinations {
+            left -= destination.weight;
             if left < 0.0 {
-                return part;
+                return destination;
             }
         }
-        &self.parts[self.parts.len() - 1] // a draw of all but 1, by rounding
+        &self.destinations[self.destinations.len() - 1] // a draw of all but 1, by rounding
     }
 }
 
-/// All routes, to be looked up in steps that grow with the depth of a path only.
+/// All routes, to be looked up in a number of steps that grows with the depth of a path only.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Table {
+pub struct RouteTable {
     hosts: HashMap<String, HashMap<String, Arc<Route>>>,
 }
 
-impl Table {
+impl RouteTable {
     /// Adds a route; of two with the same host and prefix the first holds.
     pub(crate) fn add(&mut self, host: &str, route: Arc<Route>) {
-        let host = self.hosts.entry(host.to_ascii_lowercase()).or_default();
-        host.entry(route.prefix.clone()).or_insert(route);
+        let routes = self.hosts.entry(host.to_ascii_lowercase()).or_default();
+        routes.entry(route.prefix.clone()).or_insert(route);
     }
 
-    /// The route of a request: `host` as in its header, a port is passed over; `path` without the query.
+    /// Finds the route of a request. `host` is as in its header, and a port is ignored; `path` is without the query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let name = host.rsplit_once(':').map_or(host, |(name, port)| {
-            if port.bytes().all(|b| b.is_ascii_digit()) {
-                name
-            } else {
-                host
-            }
-        });
+        let name = without_port(host);
         let routes = match self.hosts.get(name) {
             Some(routes) => routes,
             None => self.hosts.get(&name.to_ascii_lowercase())?,
@@ -90,10 +93,17 @@
         None
     }
 
-    /// All routes with their hosts, in no order.
-    pub fn all(&self) -> impl Iterator<Item = (&str, &Arc<Route>)> {
+    /// Returns all routes with their hosts, in no order.
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &Arc<Route>)> {
         self.hosts
             .iter()
-            .flat_map(|(host, routes)| routes.values().map(move |r| (host.as_str(), r)))
+            .flat_map(|(host, routes)| routes.values().map(move |route| (host.as_str(), route)))
+    }
+}
+
+fn without_port(host: &str) -> &str {
+    match host.rsplit_once(':') {
+        Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
+        _ => host,
     }
 }
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -1,21 +1,21 @@
-//! Configurations that are read after another one.
+//! Configurations that are parsed after another one.
 
-use magpieline_config::gateway_config::Edition;
+use magpieline_config::gateway_config::GatewayConfig;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::sync::Arc;
 
-fn route(chance: &mut ChaCha8Rng) -> String {
-    let (name, service) = (chance.gen_range(0..60), ["a", "b"][chance.gen_range(0..2)]);
+fn route(rng: &mut ChaCha8Rng) -> String {
+    let (name, service) = (rng.gen_range(0..60), ["a", "b"][rng.gen_range(0..2)]);
     format!(
         r#"{{"name":"r \"{name}\" [,","sort":"safe","sorting":{{"lane_prefix":"/{name}/"}},"dispatch":{{"apportion":
         [{{"service":"{service}","share":{}}}],"give_up":"{}ms"}}}}"#,
-        chance.gen_range(0..200).min(2),
-        chance.gen_range(0..200).min(3),
+        rng.gen_range(0..200).min(2),
+        rng.gen_range(0..200).min(3),
     )
 }
 
-fn text(chance: &mut ChaCha8Rng, hosts: &[Vec<String>]) -> Arc<str> {
+fn text(rng: &mut ChaCha8Rng, hosts: &[Vec<String>]) -> Arc<str> {
     let wickets: Vec<String> = hosts
         .iter()
         .enumerate()
@@ -27,24 +27,24 @@
         })
         .collect();
     let fleet = |name| format!(r#"{{"name":"{name}","regulations":[0]}}"#);
-    let fleets = if chance.gen_bool(0.95) {
+    let fleets = if rng.gen_bool(0.95) {
         fleet("a") + "," + &fleet("b")
     } else {
         fleet("a")
     };
     let body = format!(r#""wickets":[{}],"fleets":[{fleets}]"#, wickets.join(", "));
-    format!(r#"{{"edition":{},{body}}}"#, chance.gen_range(1..9)).into()
+    format!(r#"{{"edition":{},{body}}}"#, rng.gen_range(1..9)).into()
 }
 
-/// Spoils a text: a byte is lost, changed or doubled, or a part of it repeated.
-fn spoil(chance: &mut ChaCha8Rng, text: &str) -> Arc<str> {
-    let (at, mut bytes) = (chance.gen_range(0..text.len()), text.as_bytes().to_vec());
-    match chance.gen_range(0..4) {
+/// Damages a text: a byte is lost, changed or doubled, or a part of it repeated.
+fn damage(rng: &mut ChaCha8Rng, text: &str) -> Arc<str> {
+    let (at, mut bytes) = (rng.gen_range(0..text.len()), text.as_bytes().to_vec());
+    match rng.gen_range(0..4) {
         0 => _ = bytes.remove(at),
-        1 => bytes[at] = b"0\"{}[],:\\ "[chance.gen_range(0..10)],
+        1 => bytes[at] = b"0\"{}[],:\\ "[rng.gen_range(0..10)],
         2 => bytes.insert(at, bytes[at]),
         _ => {
-            let end = chance.gen_range(at..bytes.len());
+            let end = rng.gen_range(at..bytes.len());
             let part = bytes[at..end].to_vec();
             bytes.splice(at..at, part);
         }
@@ -52,52 +52,51 @@
     String::from_utf8(bytes).expect("bytes of ASCII").into()
 }
 
-/// Guards against a change that means something else after another configuration than by itself, and against a wrong one
-/// that is taken because most of it was sound before.
+/// A configuration means the same after another one as by itself, and an invalid one is refused although most of it was valid
+/// before.
 #[test]
-fn what_is_read_after_another_is_what_is_read_alone() {
-    let (mut sound, mut wrong) = (0, 0);
+fn a_config_parsed_after_another_equals_one_parsed_alone() {
+    let (mut valid, mut invalid) = (0, 0);
     for seed in 0..150 {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut hosts: Vec<Vec<String>> = (0..3)
-            .map(|_| {
-                (0..chance.gen_range(0..6))
-                    .map(|_| route(&mut chance))
-                    .collect()
-            })
+            .map(|_| (0..rng.gen_range(0..6)).map(|_| route(&mut rng)).collect())
             .collect();
-        let mut before: Option<Edition> = None;
+        let mut before: Option<GatewayConfig> = None;
         for _ in 0..20 {
-            let host = chance.gen_range(0..3);
-            match (chance.gen_range(0..3), hosts[host].len()) {
+            let host = rng.gen_range(0..3);
+            match (rng.gen_range(0..3), hosts[host].len()) {
                 (0, 1..) => _ = hosts[host].remove(0),
-                (1, n @ 1..) => hosts[host][chance.gen_range(0..n)] = route(&mut chance),
-                _ => hosts[host].push(route(&mut chance)),
+                (1, n @ 1..) => hosts[host][rng.gen_range(0..n)] = route(&mut rng),
+                _ => hosts[host].push(route(&mut rng)),
             }
-            let whole = text(&mut chance, &hosts);
-            let told = if chance.gen_bool(0.3) {
-                spoil(&mut chance, &whole)
+            let whole = text(&mut rng, &hosts);
+            let sent = if rng.gen_bool(0.3) {
+                damage(&mut rng, &whole)
             } else {
                 whole
             };
             let (after, alone) = (
-                Edition::read_after(&told, before.as_ref()),
-                Edition::read(&told),
+                GatewayConfig::parse_after(&sent, before.as_ref()),
+                GatewayConfig::parse(&sent),
             );
-            assert_eq!(after, alone, "seed {seed}: {told}");
+            assert_eq!(after, alone, "seed {seed}: {sent}");
             match after {
-                Ok(edition) => (sound, before) = (sound + 1, Some(edition)),
-                Err(_) => wrong += 1,
+                Ok(config) => (valid, before) = (valid + 1, Some(config)),
+                Err(_) => invalid += 1,
             }
         }
     }
-    assert!(sound > 1000 && wrong > 500, "{sound} sound, {wrong} wrong");
+    assert!(
+        valid > 1000 && invalid > 500,
+        "{valid} valid, {invalid} invalid"
+    );
 }
 
-/// Guards against routes that are taken for others': a name that stands twice, or is written with escapes, and what only
-/// looks like a list once the routes are out of it.
+/// Routes are not taken for others' where a name stands twice, or is written with escapes, or where something only looks like
+/// a list once the routes are out of it.
 #[test]
-fn odd_texts_are_read_as_a_whole() {
+fn unusual_texts_are_parsed_in_full() {
     let route = |service: &str| {
         format!(
             r#"{{"name":"{service}","sort":"safe","sorting":{{"lane_prefix":"/x/"}},"dispatch":{{"service":"{service}","give_up":"1s"}}}}"#
@@ -110,8 +109,8 @@
     let wickets = |name: &str, routes: &str| {
         format!(r#""{name}":[{{"depot":"h","regulations":[{routes}]}}]"#)
     };
-    let before =
-        Edition::read_after(&whole(&wickets("wickets", &format!("{a},{b}"))), None).expect("sound");
+    let before = GatewayConfig::parse_after(&whole(&wickets("wickets", &format!("{a},{b}"))), None)
+        .expect("valid");
     for inner in [
         format!("{},{}", wickets("wickets", &a), wickets("wickets", &b)),
         format!(
@@ -135,8 +134,8 @@
         let text = whole(&inner);
         for before in [None, Some(&before)] {
             assert_eq!(
-                Edition::read_after(&text, before),
-                Edition::read(&text),
+                GatewayConfig::parse_after(&text, before),
+                GatewayConfig::parse(&text),
                 "{text}"
             );
         }
--- a/crates/control-plane/src/config_receiver.rs
+++ b/crates/control-plane/src/config_receiver.rs
@@ -1,66 +1,72 @@
-//! A counter takes in editions: pieces are put together, and what is whole is put on what is held.
+//! How a proxy receives configurations: chunks are put together, and the difference is applied to the configuration in force.
 
 use crate::delta;
-use crate::messages::{Piece, LONGEST};
-use crate::state_machine::Kept;
+use crate::messages::{ConfigChunk, MAX_FRAME_BYTES};
+use crate::state_machine::StoredConfig;
 
-/// The edition that is coming in over one link; a new link begins a new one.
+/// The configuration that is arriving in one session; a new session begins with a new one.
 #[derive(Debug, Default)]
-pub struct Intake {
-    number: u64,
-    from: u64,
-    /// What has come of it; its length is where the next piece begins.
-    told: Vec<u8>,
+pub struct ConfigReceiver {
+    version: u64,
+    base_version: u64,
+    /// What has arrived; its length is where the next chunk begins.
+    bytes: Vec<u8>,
 }
 
-/// What a piece made.
+/// What a chunk led to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// More is to come; so many bytes are here.
-    More(u32),
-    /// A whole edition, newer than the one held.
-    Whole(Kept),
-    /// Nothing: as new an edition is held.
+pub enum Received {
+    /// More chunks are to come; so many bytes are here.
+    Incomplete(u32),
+    /// A complete configuration, newer than the one in force.
+    Complete(StoredConfig),
+    /// Nothing: as new a configuration is in force.
     Stale,
-    /// It does not go with what is held here; the whole is needed.
-    Unfit,
+    /// It does not apply to the configuration in force; all of it is needed.
+    BaseMismatch,
 }
 
-impl Intake {
-    /// Takes in a piece; `held` is the edition in force.
-    pub fn take(&mut self, held: Option<&Kept>, piece: &Piece) -> Taken {
-        if held.is_some_and(|h| h.number >= piece.number) {
-            *self = Intake::default();
-            return Taken::Stale;
+impl ConfigReceiver {
+    /// Takes in a chunk; `current` is the configuration in force.
+    pub fn receive(&mut self, current: Option<&StoredConfig>, chunk: &ConfigChunk) -> Received {
+        if current.is_some_and(|current| current.version >= chunk.version) {
+            *self = ConfigReceiver::default();
+            return Received::Stale;
         }
-        if piece.at == 0 {
-            (self.number, self.from) = (piece.number, piece.from);
-            self.told.clear();
+        if chunk.offset == 0 {
+            (self.version, self.base_version) = (chunk.version, chunk.base_version);
+            self.bytes.clear();
         }
-        let follows = (self.number, self.from, self.told.len())
-            == (piece.number, piece.from, piece.at as usize)
-            && piece.bytes.len() <= (piece.length as usize).saturating_sub(piece.at as usize)
-            && piece.length as usize <= LONGEST;
-        if !follows {
-            *self = Intake::default();
-            return Taken::Unfit;
+        if !self.is_next(chunk) {
+            *self = ConfigReceiver::default();
+            return Received::BaseMismatch;
         }
-        self.told.extend_from_slice(&piece.bytes);
-        if self.told.len() < piece.length as usize {
-            return Taken::More(self.told.len() as u32);
+        self.bytes.extend_from_slice(&chunk.bytes);
+        if self.bytes.len() < chunk.total_bytes as usize {
+            return Received::Incomplete(self.bytes.len() as u32);
         }
-        let told = std::mem::take(self).told;
-        let old = match held {
-            _ if piece.from == 0 => Some(""),
-            Some(held) if held.number == piece.from => Some(&*held.text),
+        let difference = std::mem::take(self).bytes;
+        let base = match current {
+            _ if chunk.base_version == 0 => Some(""),
+            Some(current) if current.version == chunk.base_version => Some(&*current.text),
             _ => None,
         };
-        match old.and_then(|old| delta::apply(old, &told, LONGEST)) {
-            Some(text) => Taken::Whole(Kept {
-                number: piece.number,
+        match base.and_then(|base| delta::apply(base, &difference, MAX_FRAME_BYTES)) {
+            Some(text) => Received::Complete(StoredConfig {
+                version: chunk.version,
                 text: text.into(),
             }),
-            None => Taken::Unfit,
+            None => Received::BaseMismatch,
         }
     }
+
+    /// Whether the chunk follows what has arrived, and fits into the total that it states.
+    fn is_next(&self, chunk: &ConfigChunk) -> bool {
+        let (offset, total) = (chunk.offset as usize, chunk.total_bytes as usize);
+        let is_same = (self.version, self.base_version) == (chunk.version, chunk.base_version);
+        is_same
+            && self.bytes.len() == offset
+            && chunk.bytes.len() <= total.saturating_sub(offset)
+            && total <= MAX_FRAME_BYTES
+    }
 }
--- a/crates/control-plane/src/config_sender.rs
+++ b/crates/control-plane/src/config_sender.rs
@@ -1,65 +1,75 @@
-//! How editions go out to counters: for each counter a state of what it holds and what is on its way to it.
+//! How configurations go out to proxies: for each proxy the version that it has, and the transfer in flight to it.
 //!
-//! - *Coalescing.* At most one edition is on its way to a counter. Once that is in force there, the newest one is told as
-//!   what has changed since; those in between are passed over.
-//! - *Pieces and back-pressure.* An edition goes out in pieces, a few unacknowledged ones at a time, so that whatever
-//!   else is said on the link (signs of life, appliances that leave, standings) waits behind a few pieces at most.
-//! - *Pacing.* Of all pieces together only so many bytes are on their way, by turns: this machine's own link carries the
-//!   agreement too, and followers that don't hear of their leader in time elect another one.
-//! - What is said alike to many counters is made once, and shared.
+//! - *Coalescing.* At most one configuration is in flight to a proxy. Once it is in force there, the newest one is sent as its
+//!   difference from it; those in between are skipped.
+//! - *Chunks and back-pressure.* A configuration goes out in chunks, a few unacknowledged ones at a time, so that whatever else
+//!   is sent in the session (heartbeats, endpoints, service states) waits behind a few chunks at most.
+//! - *Pacing.* Of all chunks together only so many bytes are in flight, round-robin: the leader's own link carries consensus
+//!   messages too, and followers that don't hear their leader in time elect another one.
+//! - What is the same for many proxies is encoded once, and shared.
 //!
 //! No I/O: events and the time go in, actions come out.
 
 use crate::delta;
-use crate::messages::{self, Down, Fenced, Piece};
-use crate::state_machine::Kept;
+use crate::messages::{encode_frame, ConfigChunk, ControllerMessage, Fenced};
+use crate::state_machine::StoredConfig;
 use crate::Micros;
 use bytes::Bytes;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Bytes of an edition in one piece: a thirtieth of a second on 2 Mbit/s.
-const PIECE: usize = 8 << 10;
-/// Bytes of pieces on their way to one counter, unacknowledged. On 2 Mbit/s what is more urgent waits a tenth of a
-/// second behind them, and with a round trip of 40 ms between regions 600 KB/s get through.
-pub const WINDOW: usize = 3 * PIECE;
-/// Bytes of pieces on their way to all counters: 80 ms on a link of 51 Mbit/s, which leaves room for a sign of life
-/// every 100 ms to followers that wait 400 ms; enough for twenty counters at a time, which take it as fast as that.
-pub const WINDOW_OF_ALL: usize = 512 << 10;
-/// A counter that has not acknowledged a piece for so long no longer takes room from the others: it is cut off, frozen
-/// or far slower than they are.
-const STALLED: Micros = 500_000;
-/// Editions that are remembered, besides the newest, so that a counter that holds one is told of changes only.
-const MOST_REMEMBERED: usize = 8;
+/// Bytes of a configuration in one chunk: a thirtieth of a second on 2 Mbit/s.
+const CHUNK_BYTES: usize = 8 << 10;
+/// Unacknowledged bytes of chunks in flight to one proxy. On 2 Mbit/s what is more urgent waits a tenth of a second behind
+/// them, and with a round trip of 40 ms between regions 600 KB/s get through.
+pub const WINDOW_BYTES: usize = 3 * CHUNK_BYTES;
+/// Bytes of chunks in flight to all proxies: 80 ms on a link of 51 Mbit/s, which leaves room for a heartbeat every 100 ms to
+/// followers that wait 400 ms; enough for twenty proxies at a time, which take it as fast as that.
+pub const TOTAL_WINDOW_BYTES: usize = 512 << 10;
+/// A proxy that has not acknowledged a chunk for so long no longer takes room from the others: it is cut off, suspended or far
+/// slower than they are.
+const STALLED_AFTER: Micros = 500_000;
+/// Configurations that are remembered besides the newest, so that a proxy that has one is sent the difference only.
+const MAX_REMEMBERED: usize = 8;
 /// Bytes of them; the last one is kept whatever its length.
-const MOST_REMEMBERED_BYTES: usize = 8 << 20;
+const MAX_REMEMBERED_BYTES: usize = 8 << 20;
 
 /// What has happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An edition has been agreed on, or read from the store.
-    Edition(Kept),
-    /// A counter holds on to this machine by this link, and has that edition in force (0: none).
+    /// A configuration was committed, or read from the store.
+    NewConfig(StoredConfig),
+    /// A proxy has opened a session.
     Opened {
-        link: u64,
-        held: u64,
+        /// The session.
+        session: u64,
+        /// The version of the configuration in force there; 0: none.
+        version: u64,
     },
-    /// A counter has got so many bytes of what is on its way.
-    Got {
-        link: u64,
-        number: u64,
-        upto: u32,
+    /// A proxy has acknowledged chunks.
+    ChunkReceived {
+        /// The session.
+        session: u64,
+        /// The version in flight.
+        version: u64,
+        /// Bytes of it that are there.
+        received: u32,
     },
-    /// A counter has this edition in force (0: none that goes with what it was told); what was on its way is done with.
-    Holds {
-        link: u64,
-        edition: u64,
+    /// A transfer is over.
+    ConfigApplied {
+        /// The session.
+        session: u64,
+        /// The version in force there; 0: the difference did not apply to the version that the proxy has.
+        version: u64,
     },
+    /// A session has ended.
     Closed {
-        link: u64,
+        /// The session.
+        session: u64,
     },
-    /// This machine leads in this term from now on, or no longer: all links of before have ended.
-    Leads {
+    /// This controller leads in this term from now on, or no longer: all sessions before have ended.
+    LeadershipChanged {
+        /// The term.
         term: Option<u64>,
     },
     /// Time has passed.
@@ -69,343 +79,420 @@
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Say this to a counter.
-    Send { link: u64, frame: Bytes },
-    /// The counter has in force what was newest when its link opened, or something newer.
-    Current { link: u64 },
-    /// An edition is in force there: bytes that were told, microseconds since it was agreed on here.
-    InForce {
-        link: u64,
-        number: u64,
-        told: u32,
-        after: Micros,
+    /// Send a frame to a proxy.
+    Send {
+        /// The session.
+        session: u64,
+        /// The frame.
+        frame: Bytes,
     },
+    /// The proxy has in force what was newest when its session opened, or something newer.
+    UpToDate {
+        /// The session.
+        session: u64,
+    },
+    /// A configuration is in force at a proxy.
+    Applied {
+        /// The session.
+        session: u64,
+        /// The version.
+        version: u64,
+        /// Bytes that were sent for it.
+        bytes: u32,
+        /// Microseconds since it was committed here.
+        elapsed: Micros,
+    },
+}
+
+/// A frame with one chunk.
+struct ChunkFrame {
+    /// Where the chunk ends.
+    end: u32,
+    frame: Bytes,
 }
 
-/// An edition as told to counters that hold a certain other one, in frames.
-struct Telling {
-    number: u64,
-    length: u32,
-    /// Where each piece ends, and its frame.
-    frames: Vec<(u32, Bytes)>,
+/// The newest configuration, encoded for proxies that have a certain version.
+struct EncodedConfig {
+    version: u64,
+    /// The version that it applies to; 0: it is sent in full.
+    base_version: u64,
+    total_bytes: u32,
+    chunks: Vec<ChunkFrame>,
 }
 
-/// One counter.
-struct Feed {
-    held: u64,
-    /// What was newest when its link opened; nothing once it has that.
-    awaits: Option<u64>,
-    coming: Option<Coming>,
-    /// It could not take this edition in: not told again.
-    refused: u64,
-    /// Whether it is in the queue of those that wait for their turn.
-    queued: bool,
+impl EncodedConfig {
+    fn new(term: u64, version: u64, base_version: u64, encoded: &[u8]) -> EncodedConfig {
+        let total_bytes = encoded.len() as u32;
+        let chunk_frame = |(i, bytes): (usize, &[u8])| {
+            let offset = (i * CHUNK_BYTES) as u32;
+            let chunk = ConfigChunk {
+                version,
+                base_version,
+                total_bytes,
+                offset,
+                bytes: bytes.to_vec(),
+            };
+            let message = ControllerMessage::ConfigChunk(chunk);
+            let frame = Bytes::from(encode_frame(&Fenced { term, message }));
+            ChunkFrame {
+                end: offset + bytes.len() as u32,
+                frame,
+            }
+        };
+        let chunks = encoded
+            .chunks(CHUNK_BYTES)
+            .enumerate()
+            .map(chunk_frame)
+            .collect();
+        EncodedConfig {
+            version,
+            base_version,
+            total_bytes,
+            chunks,
+        }
+    }
 }
 
-/// What is on its way to a counter.
-struct Coming {
-    telling: Arc<Telling>,
-    from: u64,
-    /// Pieces that were sent.
-    pieces: usize,
-    /// Bytes that were sent, and those that were acknowledged.
-    sent: u32,
-    got: u32,
-    /// When the last piece was sent or acknowledged.
-    moved_at: Micros,
-    /// Whether what is unacknowledged still counts among the bytes on their way to all.
-    counted: bool,
+/// A configuration in flight to a proxy.
+struct Transfer {
+    config: Arc<EncodedConfig>,
+    /// Chunks that were sent.
+    sent_chunks: usize,
+    sent_bytes: u32,
+    acknowledged_bytes: u32,
+    /// When the last chunk was sent or acknowledged.
+    progress_at: Micros,
+    /// The proxy does not acknowledge: its bytes don't count among those in flight to all.
+    is_stalled: bool,
 }
 
-impl Coming {
-    fn flying(&self) -> usize {
-        (self.sent - self.got) as usize
+impl Transfer {
+    fn in_flight(&self) -> usize {
+        (self.sent_bytes - self.acknowledged_bytes) as usize
     }
+
+    /// Returns what counts among the bytes in flight to all.
+    fn counted_in_flight(&self) -> usize {
+        if self.is_stalled {
+            0
+        } else {
+            self.in_flight()
+        }
+    }
+
     fn is_sent(&self) -> bool {
-        self.sent == self.telling.length
+        self.sent_bytes == self.config.total_bytes
+    }
+
+    /// Whether the next chunk may be sent.
+    fn is_ready(&self) -> bool {
+        !self.is_sent() && self.in_flight() < WINDOW_BYTES
     }
 }
 
-/// All counters' feeds, and the editions that they are told of.
+/// One proxy's session.
+struct Session {
+    /// The version in force there.
+    version: u64,
+    /// The newest version when the session opened; none once the proxy has it.
+    awaited_version: Option<u64>,
+    transfer: Option<Transfer>,
+    /// The proxy could not apply this version: it is not sent again.
+    refused_version: u64,
+    /// It waits in the queue for its turn.
+    is_queued: bool,
+}
+
+/// Sends configurations to all proxies.
 #[derive(Default)]
-pub struct Feeds {
-    /// The term that all is said in.
+pub struct ConfigSender {
+    /// The term that everything is sent in.
     term: u64,
-    newest: Option<Kept>,
-    newest_at: Micros,
-    /// Editions before the newest, the last one at the end.
-    earlier: VecDeque<Kept>,
-    feeds: BTreeMap<u64, Feed>,
-    /// The newest as told to who holds another (0: none).
-    tellings: BTreeMap<u64, Arc<Telling>>,
-    /// Links that wait for their turn.
-    turns: VecDeque<u64>,
-    /// Bytes on their way to all counters that aren't stalled.
-    flying: usize,
+    newest: Option<StoredConfig>,
+    newest_since: Micros,
+    /// Configurations before the newest, the last one at the end.
+    earlier: VecDeque<StoredConfig>,
+    sessions: BTreeMap<u64, Session>,
+    /// The newest configuration, encoded by the version that the receiver has.
+    encoded: BTreeMap<u64, Arc<EncodedConfig>>,
+    /// Sessions that wait for their turn.
+    queue: VecDeque<u64>,
+    /// Bytes in flight to all proxies that aren't stalled.
+    in_flight: usize,
     actions: Vec<Action>,
 }
 
-impl Feeds {
+impl ConfigSender {
+    /// Takes one event at `now`; returns what is to be done, in order.
     pub fn step(&mut self, now: Micros, event: Event) -> Vec<Action> {
         match event {
-            Event::Edition(kept) => self.edition(now, kept),
-            Event::Opened { link, held } => {
-                self.drop(link);
-                let awaits = self.newest.as_ref().map(|n| n.number).filter(|n| *n > held);
-                self.feeds.insert(
-                    link,
-                    Feed {
-                        held,
-                        awaits,
-                        coming: None,
-                        refused: 0,
-                        queued: false,
-                    },
-                );
-                match awaits {
-                    Some(_) => self.queue(link),
-                    None => self.actions.push(Action::Current { link }),
-                }
-            }
-            Event::Got { link, number, upto } => self.got(now, link, number, upto),
-            Event::Holds { link, edition } => self.holds(now, link, edition),
-            Event::Closed { link } => self.drop(link),
-            Event::Leads { term } => {
-                self.term = term.unwrap_or(0);
-                self.tellings.clear();
-                self.feeds.clear();
-                self.turns.clear();
-                self.flying = 0;
+            Event::NewConfig(config) => self.on_new_config(now, config),
+            Event::Opened { session, version } => self.on_opened(session, version),
+            Event::ChunkReceived {
+                session,
+                version,
+                received,
+            } => {
+                self.on_chunk_received(now, session, version, received);
             }
-            Event::Tick => self.stalled(now),
+            Event::ConfigApplied { session, version } => self.on_applied(now, session, version),
+            Event::Closed { session } => self.remove(session),
+            Event::LeadershipChanged { term } => self.on_leadership_change(term),
+            Event::Tick => self.mark_stalled(now),
         }
-        self.pump(now);
+        self.send_chunks(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Bytes on their way to counters that take them.
-    pub fn flying(&self) -> usize {
-        self.flying
+    /// Returns the bytes in flight to proxies that acknowledge them.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
-    /// Bytes that are kept: texts, and what is made of them to be told.
-    pub fn kept_bytes(&self) -> usize {
+    /// Returns the bytes kept: texts, and what is encoded of them.
+    pub fn memory_bytes(&self) -> usize {
         let texts = self
             .earlier
             .iter()
             .chain(&self.newest)
-            .map(|k| k.text.len());
-        texts.sum::<usize>()
-            + self
-                .tellings
-                .values()
-                .map(|t| t.length as usize)
-                .sum::<usize>()
+            .map(|config| config.text.len());
+        let encoded = self
+            .encoded
+            .values()
+            .map(|config| config.total_bytes as usize);
+        texts.chain(encoded).sum()
     }
 
-    /// Counters that don't have the newest edition in force.
-    pub fn behind(&self) -> usize {
-        let newest = self.newest.as_ref().map_or(0, |n| n.number);
-        self.feeds.values().filter(|f| f.held < newest).count()
+    /// Returns how many proxies don't have the newest configuration in force.
+    pub fn outdated_proxies(&self) -> usize {
+        let newest = self.newest.as_ref().map_or(0, |newest| newest.version);
+        self.sessions
+            .values()
+            .filter(|session| session.version < newest)
+            .count()
     }
 
-    fn edition(&mut self, now: Micros, kept: Kept) {
+    fn on_new_config(&mut self, now: Micros, config: StoredConfig) {
         if self
             .newest
             .as_ref()
-            .is_some_and(|n| n.number >= kept.number)
+            .is_some_and(|newest| newest.version >= config.version)
         {
             return;
         }
-        self.earlier.extend(self.newest.replace(kept));
-        self.newest_at = now;
-        self.tellings.clear();
-        let beyond = |earlier: &VecDeque<Kept>| {
-            let bytes: usize = earlier.iter().map(|k| k.text.len()).sum();
-            earlier.len() > MOST_REMEMBERED || (earlier.len() > 1 && bytes > MOST_REMEMBERED_BYTES)
-        };
-        while beyond(&self.earlier) {
+        self.earlier.extend(self.newest.replace(config));
+        self.newest_since = now;
+        self.encoded.clear();
+        while self.remembers_too_much() {
             self.earlier.pop_front();
         }
-        let links: Vec<u64> = self.feeds.keys().copied().collect();
-        links.into_iter().for_each(|link| self.queue(link));
+        let sessions: Vec<u64> = self.sessions.keys().copied().collect();
+        for session in sessions {
+            self.enqueue(session);
+        }
+    }
+
+    fn remembers_too_much(&self) -> bool {
+        let bytes: usize = self.earlier.iter().map(|config| config.text.len()).sum();
+        let count = self.earlier.len();
+        count > MAX_REMEMBERED || (count > 1 && bytes > MAX_REMEMBERED_BYTES)
     }
 
-    /// Puts a link into the queue, at its end.
-    fn queue(&mut self, link: u64) {
-        if let Some(feed) = self.feeds.get_mut(&link).filter(|f| !f.queued) {
-            feed.queued = true;
-            self.turns.push_back(link);
+    fn on_opened(&mut self, session: u64, version: u64) {
+        self.remove(session);
+        let newest = self.newest.as_ref().map(|newest| newest.version);
+        let awaited_version = newest.filter(|newest| *newest > version);
+        let opened = Session {
+            version,
+            awaited_version,
+            transfer: None,
+            refused_version: 0,
+            is_queued: false,
+        };
+        self.sessions.insert(session, opened);
+        match awaited_version {
+            Some(_) => self.enqueue(session),
+            None => self.actions.push(Action::UpToDate { session }),
         }
     }
 
-    fn drop(&mut self, link: u64) {
-        if let Some(Feed {
-            coming: Some(coming),
-            ..
-        }) = self.feeds.remove(&link)
+    fn on_leadership_change(&mut self, term: Option<u64>) {
+        self.term = term.unwrap_or(0);
+        self.encoded.clear();
+        self.sessions.clear();
+        self.queue.clear();
+        self.in_flight = 0;
+    }
+
+    /// Puts a session at the end of the queue, unless it is in it.
+    fn enqueue(&mut self, session: u64) {
+        if let Some(waiting) = self
+            .sessions
+            .get_mut(&session)
+            .filter(|waiting| !waiting.is_queued)
         {
-            self.flying -= if coming.counted { coming.flying() } else { 0 };
+            waiting.is_queued = true;
+            self.queue.push_back(session);
+        }
+    }
+
+    fn remove(&mut self, session: u64) {
+        let removed = self.sessions.remove(&session);
+        if let Some(transfer) = removed.and_then(|removed| removed.transfer) {
+            self.in_flight -= transfer.counted_in_flight();
         }
     }
 
-    fn got(&mut self, now: Micros, link: u64, number: u64, upto: u32) {
-        let Some(coming) = self.feeds.get_mut(&link).and_then(|f| f.coming.as_mut()) else {
+    fn transfer(&mut self, session: u64) -> Option<&mut Transfer> {
+        self.sessions.get_mut(&session)?.transfer.as_mut()
+    }
+
+    fn on_chunk_received(&mut self, now: Micros, session: u64, version: u64, received: u32) {
+        let Some(transfer) = self.transfer(session) else {
             return;
         };
-        if coming.telling.number != number || upto <= coming.got || upto > coming.sent {
+        let is_new = received > transfer.acknowledged_bytes && received <= transfer.sent_bytes;
+        if transfer.config.version != version || !is_new {
             return;
         }
-        self.flying -= if coming.counted {
-            (upto - coming.got) as usize
-        } else {
-            0
-        };
-        (coming.got, coming.moved_at) = (upto, now);
-        if !coming.counted {
-            coming.counted = true;
-            self.flying += coming.flying();
-        }
-        self.queue(link);
+        let before = transfer.counted_in_flight();
+        transfer.acknowledged_bytes = received;
+        transfer.progress_at = now;
+        transfer.is_stalled = false;
+        let after = transfer.counted_in_flight();
+        self.in_flight = self.in_flight - before + after;
+        self.enqueue(session);
     }
 
-    fn holds(&mut self, now: Micros, link: u64, edition: u64) {
-        let Some(feed) = self.feeds.get_mut(&link) else {
+    fn on_applied(&mut self, now: Micros, session: u64, version: u64) {
+        let elapsed = now.saturating_sub(self.newest_since);
+        let Some(state) = self.sessions.get_mut(&session) else {
             return;
         };
-        if let Some(coming) = feed.coming.take() {
-            self.flying -= if coming.counted { coming.flying() } else { 0 };
-            let number = coming.telling.number;
-            if edition == number {
-                let after = now.saturating_sub(self.newest_at);
-                self.actions.push(Action::InForce {
-                    link,
-                    number,
-                    told: coming.telling.length,
-                    after,
+        if let Some(transfer) = state.transfer.take() {
+            self.in_flight -= transfer.counted_in_flight();
+            let sent = &transfer.config;
+            if version == sent.version {
+                self.actions.push(Action::Applied {
+                    session,
+                    version,
+                    bytes: sent.total_bytes,
+                    elapsed,
                 });
-            } else if edition < number && (coming.from == 0 || edition != 0) {
-                feed.refused = number;
+            } else if version < sent.version && (sent.base_version == 0 || version != 0) {
+                state.refused_version = sent.version;
             }
         }
-        feed.held = edition;
-        if feed
-            .awaits
-            .is_some_and(|awaited| edition.max(feed.refused) >= awaited)
+        state.version = version;
+        let done_with = version.max(state.refused_version);
+        if state
+            .awaited_version
+            .is_some_and(|awaited| done_with >= awaited)
         {
-            feed.awaits = None;
-            self.actions.push(Action::Current { link });
+            state.awaited_version = None;
+            self.actions.push(Action::UpToDate { session });
         }
-        self.queue(link);
+        self.enqueue(session);
     }
 
-    /// What stalled counters don't acknowledge takes no room from the others any more.
-    fn stalled(&mut self, now: Micros) {
-        for feed in self.feeds.values_mut() {
-            let Some(coming) = &mut feed.coming else {
+    /// Stops counting what proxies don't acknowledge, so that it takes no room from the others.
+    fn mark_stalled(&mut self, now: Micros) {
+        for session in self.sessions.values_mut() {
+            let Some(transfer) = &mut session.transfer else {
                 continue;
             };
-            if coming.counted && coming.flying() > 0 && now >= coming.moved_at + STALLED {
-                coming.counted = false;
-                self.flying -= coming.flying();
+            let is_late = now >= transfer.progress_at + STALLED_AFTER;
+            if !transfer.is_stalled && transfer.in_flight() > 0 && is_late {
+                self.in_flight -= transfer.in_flight();
+                transfer.is_stalled = true;
             }
         }
     }
 
-    /// Sends what may be sent, by turns.
-    fn pump(&mut self, now: Micros) {
-        while self.flying < WINDOW_OF_ALL {
-            let Some(link) = self.turns.pop_front() else {
+    /// Sends what may be sent, round-robin.
+    fn send_chunks(&mut self, now: Micros) {
+        while self.in_flight < TOTAL_WINDOW_BYTES {
+            let Some(session) = self.queue.pop_front() else {
                 return;
             };
-            if self.piece(now, link) {
-                self.turns.push_back(link);
-            } else if let Some(feed) = self.feeds.get_mut(&link) {
-                feed.queued = false;
+            if self.send_chunk(now, session) {
+                self.queue.push_back(session);
+            } else if let Some(state) = self.sessions.get_mut(&session) {
+                state.is_queued = false;
             }
         }
     }
 
-    /// Sends the next piece to a counter; whether another one may follow.
-    fn piece(&mut self, now: Micros, link: u64) -> bool {
-        let Some(newest) = self.newest.as_ref().map(|n| n.number) else {
+    /// Sends the next chunk to a proxy. Returns whether another one may follow.
+    fn send_chunk(&mut self, now: Micros, session: u64) -> bool {
+        if !self.start_transfer(now, session) {
             return false;
-        };
-        let Some(feed) = self.feeds.get(&link) else {
+        }
+        let Some(transfer) = self.transfer(session) else {
             return false;
         };
-        let begins = feed.coming.is_none();
-        if begins && (feed.held >= newest || feed.refused >= newest) {
+        if !transfer.is_ready() || transfer.is_stalled {
             return false;
         }
-        if begins {
-            let from = feed.held;
-            let (from, telling) = self.telling(from);
-            let coming = Coming {
-                telling,
-                from,
-                pieces: 0,
-                sent: 0,
-                got: 0,
-                moved_at: now,
-                counted: true,
-            };
-            self.feeds.get_mut(&link).expect("just seen").coming = Some(coming);
+        let chunk = &transfer.config.chunks[transfer.sent_chunks];
+        let chunk_bytes = (chunk.end - transfer.sent_bytes) as usize;
+        let frame = chunk.frame.clone();
+        transfer.sent_bytes = chunk.end;
+        transfer.sent_chunks += 1;
+        transfer.progress_at = now;
+        let may_continue = transfer.is_ready();
+        self.in_flight += chunk_bytes;
+        self.actions.push(Action::Send { session, frame });
+        may_continue
+    }
+
+    /// Starts a transfer of the newest configuration, unless one is in flight. Returns false if there is nothing to send.
+    fn start_transfer(&mut self, now: Micros, session: u64) -> bool {
+        let Some(newest) = self.newest.as_ref().map(|newest| newest.version) else {
+            return false;
+        };
+        let Some(state) = self.sessions.get(&session) else {
+            return false;
+        };
+        if state.transfer.is_some() {
+            return true;
         }
-        let coming = self
-            .feeds
-            .get_mut(&link)
-            .and_then(|f| f.coming.as_mut())
-            .expect("just begun");
-        if coming.is_sent() || coming.flying() >= WINDOW || !coming.counted {
+        if state.version >= newest || state.refused_version >= newest {
             return false;
         }
-        let (end, frame) = &coming.telling.frames[coming.pieces];
-        self.flying += (end - coming.sent) as usize;
-        coming.pieces += 1;
-        (coming.sent, coming.moved_at) = (*end, now);
-        self.actions.push(Action::Send {
-            link,
-            frame: frame.clone(),
-        });
-        !coming.is_sent() && coming.flying() < WINDOW
+        let config = self.encoded_for(state.version);
+        let transfer = Transfer {
+            config,
+            sent_chunks: 0,
+            sent_bytes: 0,
+            acknowledged_bytes: 0,
+            progress_at: now,
+            is_stalled: false,
+        };
+        if let Some(state) = self.sessions.get_mut(&session) {
+            state.transfer = Some(transfer);
+        }
+        true
     }
 
-    /// The newest edition as told to who holds `from`; from which it is told: 0 where that one isn't remembered.
-    fn telling(&mut self, from: u64) -> (u64, Arc<Telling>) {
+    /// Returns the newest configuration as it is sent to a proxy that has `version`: in full where that one isn't remembered.
+    fn encoded_for(&mut self, version: u64) -> Arc<EncodedConfig> {
         let newest = self.newest.as_ref().expect("asked for where there is one");
-        let old = self.earlier.iter().find(|k| k.number == from);
-        let (from, text) = old.map_or((0, ""), |k| (k.number, &*k.text));
+        let base = self.earlier.iter().find(|config| config.version == version);
+        let (base_version, text) = base.map_or((0, ""), |base| (base.version, &*base.text));
         let term = self.term;
-        let made = self.tellings.entry(from).or_insert_with(|| {
-            let told = delta::diff(text, &newest.text);
-            Arc::new(Telling::new(term, newest.number, from, &told))
-        });
-        (from, made.clone())
-    }
-}
-
-impl Telling {
-    fn new(term: u64, number: u64, from: u64, told: &[u8]) -> Telling {
-        let length = told.len() as u32;
-        let frames = told.chunks(PIECE).enumerate().map(|(i, bytes)| {
-            let at = (i * PIECE) as u32;
-            let word = Down::Piece(Piece {
-                number,
-                from,
-                length,
-                at,
-                bytes: bytes.to_vec(),
-            });
-            (
-                at + bytes.len() as u32,
-                Bytes::from(messages::frame(&Fenced { term, word })),
-            )
-        });
-        Telling {
-            number,
-            length,
-            frames: frames.collect(),
-        }
+        let encode = || {
+            let difference = delta::diff(text, &newest.text);
+            Arc::new(EncodedConfig::new(
+                term,
+                newest.version,
+                base_version,
+                &difference,
+            ))
+        };
+        self.encoded
+            .entry(base_version)
+            .or_insert_with(encode)
+            .clone()
     }
 }
--- a/crates/control-plane/src/controller_client.rs
+++ b/crates/control-plane/src/controller_client.rs
@@ -1,44 +1,44 @@
-//! A counter's hold on the leading sorting machine.
+//! A proxy's session with the leading controller.
 //!
-//! It starts from seeds that may be old, down or wrong, asks one after the other, follows the hint of who leads, and
-//! lets go of who falls silent. One link at a time: what the leader says reaches every counter without relay, and a
-//! link that only seems to stand is found out by the beats that do not come.
+//! The client starts from seeds that may be out of date, down or wrong, asks one after the other, follows redirects, and
+//! leaves a leader that falls silent. One connection at a time: what the leader says reaches every proxy without a relay, and a
+//! connection that only seems to be up is found out by the heartbeats that do not arrive.
 //!
-//! It is also where words of the past are refused. Every word carries the term that it is said in; a counter keeps the
-//! highest term that a leader has spoken to it in, takes nothing said in a lower one, and ends a link on which it hears
-//! such. How old the evidence of a majority behind a leader's word can be is measured on the counter's own clock, by the
-//! moment of its newest report that the leader names: clocks are never compared, and whatever a word has waited in on its
-//! way is counted.
+//! It is also where messages of the past are rejected (fencing). Every message carries the term that it is sent in; the client
+//! keeps the highest term that a leader has spoken to it in, accepts nothing sent in a lower one, and closes a connection on
+//! which such arrives. How old the evidence of a majority behind a leader's message can be is measured on the proxy's own
+//! clock, by the time of its newest report that the leader names: clocks are never compared, and all delays on the way count.
 
-use crate::messages::{Down, Fenced};
+use crate::messages::{ControllerMessage, Fenced};
 use crate::Micros;
 use std::net::SocketAddrV4;
 
-/// Without a word for so long the leader is taken for lost: three of its beats and a slow moment.
-const SILENT: Micros = 1_000_000;
-/// A leader is taken at its word for so long after the counter's newest report that it has named: reports go up twice a
-/// second and are named with the next beat, 0.8 s later; as much again for slow moments. Below the least `contact` of the
+/// A leader that sends nothing for so long is taken for lost: three of its heartbeats and a slow moment.
+const SILENCE_TIMEOUT: Micros = 1_000_000;
+/// A leader's leadership is trusted for so long after the proxy's newest report that it has named: reports go up twice a second
+/// and are named with the next heartbeat, 0.8 s later; as much again for slow moments. Below the least `contact` of the
 /// deployments known, 3 s.
-const FRESH: Micros = 2_000_000;
-/// On a link that is choked, beats come late and still come. It is let go of only when what comes is this old: a new link
-/// to the same leader would be choked anew.
-const STALE: Micros = 5_000_000;
-/// A link that is not up after this is given up: connections within a region take a few milliseconds, across
-/// regions some fifty.
-const UP_WITHIN: Micros = 250_000;
-/// A machine that knows no leader is asked again after this, and the next one meanwhile.
-const ASK_AGAIN: Micros = 80_000;
-/// A sign of life goes up this often: the leader counts who is there, and hears of evidence.
-const REPORT_EVERY: Micros = 500_000;
+const TRUST_DURATION: Micros = 2_000_000;
+/// On a congested connection heartbeats arrive late and still arrive. It is closed only when what arrives is this old: a new
+/// connection to the same leader would be as congested.
+const STALE_TIMEOUT: Micros = 5_000_000;
+/// A connection that is not up after this is given up: connections within a region take a few milliseconds, across regions
+/// some fifty.
+const CONNECT_TIMEOUT: Micros = 250_000;
+/// A controller that knows no leader is asked again after this, and the next one meanwhile.
+const RETRY_INTERVAL: Micros = 80_000;
+/// A report goes up this often: the leader counts the proxies, and hears of evidence.
+const REPORT_INTERVAL: Micros = 500_000;
 
 /// What has happened.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// The link is up.
-    Opened,
+    /// The connection is up.
+    Connected,
     /// It has ended, or did not come up.
-    Closed,
-    Heard(&'a Fenced<Down>),
+    Disconnected,
+    /// A message has arrived.
+    Received(&'a Fenced<ControllerMessage>),
     /// Time has passed.
     Tick,
 }
@@ -46,296 +46,340 @@
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Open a link to this machine; what is open ends.
-    Dial(SocketAddrV4),
-    /// End the link.
-    HangUp,
-    /// Say who this is.
-    Hello,
-    /// Tell what is in force, and what has been seen.
-    Report,
-    /// Take what was heard into force, before anything that follows: it is the word of a leader whom a majority has
-    /// confirmed after this counter asked, and of no lower term than any heard before.
-    Take,
+    /// Open a connection to this controller, and close the one that is open.
+    Connect(SocketAddrV4),
+    /// Close the connection.
+    Disconnect,
+    /// Send a hello.
+    SendHello,
+    /// Send a report.
+    SendReport,
+    /// Put what was received into force, before anything that follows: it is from a leader that a majority has confirmed after
+    /// this proxy asked, and of no lower term than anything heard before.
+    Accept,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Link {
-    Down,
-    Dialled(SocketAddrV4),
-    /// Up; not yet known who leads.
-    Up(SocketAddrV4),
-    /// The other side leads, in the term of the tendril.
-    Held(SocketAddrV4),
+enum Connection {
+    Disconnected,
+    Connecting(SocketAddrV4),
+    /// Up; whether the other side leads is not known yet.
+    Asking(SocketAddrV4),
+    /// The other side leads.
+    Following(SocketAddrV4),
 }
 
-/// A counter's hold on the leader.
+/// A proxy's session with the leader.
 #[derive(Debug)]
-pub struct Tendril {
+pub struct ControllerClient {
     seeds: Vec<SocketAddrV4>,
-    /// All sorting machines, as last told; seeds where nothing was told.
-    core: Vec<SocketAddrV4>,
-    link: Link,
-    /// Who is asked next, among `core` and then `seeds`.
+    /// All controllers, as last heard; the seeds where nothing was heard.
+    controllers: Vec<SocketAddrV4>,
+    connection: Connection,
+    /// Who is asked next, among `controllers` and then `seeds`.
     turn: usize,
-    hint: Option<SocketAddrV4>,
-    began: Micros,
-    since: Micros,
+    /// Who is said to lead.
+    leader_hint: Option<SocketAddrV4>,
+    started_at: Micros,
+    /// When the connection was tried, or came up.
+    connection_since: Micros,
     heard_at: Micros,
-    dial_at: Micros,
+    connect_at: Micros,
     report_at: Micros,
-    /// When the leader was last held; none: never.
-    held_at: Option<Micros>,
+    /// When a leader was last followed; none: never.
+    followed_at: Option<Micros>,
     /// The highest term that a leader has spoken in; 0: none has.
     term: u64,
-    /// The term of the link, once a leader has spoken on it.
-    spoken: Option<u64>,
+    /// The term of the connection, once a leader has spoken on it.
+    connection_term: Option<u64>,
     /// The newest report that a leader has named: it led, and nobody else, at a moment after it.
     led_at: Option<Micros>,
     /// All that was acknowledged before this moment is known here; none: nothing is.
     confirmed_at: Option<Micros>,
-    /// The edition in force here.
-    edition: u64,
-    counters: u32,
+    /// The version of the configuration in force here.
+    config_version: u64,
+    proxies: u32,
 }
 
-impl Tendril {
-    /// `turn` says with whom it begins; counters should differ.
-    pub fn new(now: Micros, seeds: Vec<SocketAddrV4>, turn: usize) -> Tendril {
-        Tendril {
-            core: seeds.clone(),
+impl ControllerClient {
+    /// `turn` says with whom it begins; proxies should differ.
+    pub fn new(now: Micros, seeds: Vec<SocketAddrV4>, turn: usize) -> ControllerClient {
+        ControllerClient {
+            controllers: seeds.clone(),
             seeds,
-            link: Link::Down,
+            connection: Connection::Disconnected,
             turn,
-            hint: None,
-            began: now,
-            since: now,
+            leader_hint: None,
+            started_at: now,
+            connection_since: now,
             heard_at: now,
-            dial_at: now,
+            connect_at: now,
             report_at: now,
-            held_at: None,
+            followed_at: None,
             term: 0,
-            spoken: None,
+            connection_term: None,
             led_at: None,
             confirmed_at: None,
-            edition: 0,
-            counters: 0,
+            config_version: 0,
+            proxies: 0,
         }
     }
 
-    /// Whether the leader has been heard of lately, and led lately when it spoke.
-    pub fn holds(&self, now: Micros) -> bool {
-        let fresh = self.led_at.is_some_and(|at| now < at + FRESH);
-        matches!(self.link, Link::Held(_)) && now < self.heard_at + SILENT && fresh
+    /// Whether the leader has been heard recently, and led recently when it spoke.
+    pub fn is_following(&self, now: Micros) -> bool {
+        let is_trusted = self.led_at.is_some_and(|at| now < at + TRUST_DURATION);
+        let is_heard = now < self.heard_at + SILENCE_TIMEOUT;
+        matches!(self.connection, Connection::Following(_)) && is_heard && is_trusted
     }
 
-    /// A moment before which nothing was acknowledged that is not known here, on this counter's clock; none: no leader
-    /// has confirmed anything in this life, and nothing is to be taken for being in force.
+    /// Returns a moment, on this proxy's clock, before which nothing was acknowledged that is not known here. None: no leader
+    /// has confirmed anything since the start, and nothing is to be taken for being in force.
     pub fn confirmed_at(&self) -> Option<Micros> {
         self.confirmed_at
     }
 
-    /// The highest term that a leader has spoken to this counter in; 0: none has.
+    /// Returns the highest term that a leader has spoken to this proxy in; 0: none has.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// For how long no leader has been held.
-    pub fn adrift(&self, now: Micros) -> Micros {
-        if self.holds(now) {
-            0
-        } else {
-            now.saturating_sub(self.held_at.unwrap_or(self.began))
+    /// Returns for how long no leader has been followed.
+    pub fn time_without_leader(&self, now: Micros) -> Micros {
+        if self.is_following(now) {
+            return 0;
         }
+        now.saturating_sub(self.followed_at.unwrap_or(self.started_at))
     }
 
-    /// How many counters there are, as last told; 0 before.
-    pub fn counters(&self) -> u32 {
-        self.counters
+    /// Returns how many proxies there are, as last heard; 0 before.
+    pub fn proxies(&self) -> u32 {
+        self.proxies
     }
 
-    /// Who is held, or being asked.
+    /// Returns who is followed, or being asked.
     pub fn target(&self) -> Option<SocketAddrV4> {
-        match self.link {
-            Link::Down => None,
-            Link::Dialled(to) | Link::Up(to) | Link::Held(to) => Some(to),
+        match self.connection {
+            Connection::Disconnected => None,
+            Connection::Connecting(to) | Connection::Asking(to) | Connection::Following(to) => {
+                Some(to)
+            }
         }
     }
 
-    /// All sorting machines that are known of.
-    pub fn core(&self) -> &[SocketAddrV4] {
-        &self.core
+    /// Returns all controllers that are known.
+    pub fn controllers(&self) -> &[SocketAddrV4] {
+        &self.controllers
     }
 
-    /// This edition is in force here.
-    pub fn in_force(&mut self, edition: u64) {
-        self.edition = edition;
+    /// Takes note of the version of the configuration in force here.
+    pub fn set_config_version(&mut self, version: u64) {
+        self.config_version = version;
     }
 
-    /// Other seeds are told. Who is held stays held; what was learnt is asked first, as before.
-    pub fn reseed(&mut self, seeds: Vec<SocketAddrV4>) {
-        if self.core == self.seeds {
-            self.core = seeds.clone();
+    /// Replaces the seeds. Who is followed stays followed, and controllers that were heard of are asked first, as before.
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
+        if self.controllers == self.seeds {
+            self.controllers.clone_from(&seeds);
         }
         self.seeds = seeds;
     }
 
+    /// Takes one event at `now`; returns what is to be done, in order.
     pub fn step(&mut self, now: Micros, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Opened => {
-                if let Link::Dialled(to) = self.link {
-                    (self.link, self.since, self.heard_at) = (Link::Up(to), now, now);
-                    actions.push(Action::Hello);
+            Event::Connected => {
+                if let Connection::Connecting(to) = self.connection {
+                    self.connection = Connection::Asking(to);
+                    (self.connection_since, self.heard_at) = (now, now);
+                    actions.push(Action::SendHello);
                 }
             }
-            Event::Closed => {
-                // A leader that was held is asked once more first: a connection may break for its own reasons.
-                self.hint = self.hint.or(if let Link::Held(to) = self.link {
-                    Some(to)
-                } else {
-                    None
-                });
-                self.let_go(
-                    now,
-                    if matches!(self.link, Link::Held(_)) {
-                        0
-                    } else {
-                        ASK_AGAIN
-                    },
-                );
-            }
-            Event::Heard(told) => {
+            Event::Disconnected => self.on_disconnected(now),
+            Event::Received(message) => {
                 self.heard_at = now;
-                self.heard(now, told, &mut actions);
+                self.on_received(now, message, &mut actions);
             }
             Event::Tick => {}
         }
-        self.pass(now, &mut actions);
+        self.check_timers(now, &mut actions);
         actions
     }
 
-    /// When [`Event::Tick`] is due next.
-    pub fn next(&self) -> Micros {
-        match self.link {
-            Link::Down => self.dial_at,
-            Link::Dialled(_) => self.since + UP_WITHIN,
-            Link::Up(_) => self.heard_at + SILENT,
-            Link::Held(_) => self.silent_at().min(self.report_at),
+    /// Returns when [`Event::Tick`] is due next.
+    pub fn next_wake(&self) -> Micros {
+        match self.connection {
+            Connection::Disconnected => self.connect_at,
+            Connection::Connecting(_) => self.connection_since + CONNECT_TIMEOUT,
+            Connection::Asking(_) => self.heard_at + SILENCE_TIMEOUT,
+            Connection::Following(_) => self.leader_timeout_at().min(self.report_at),
         }
     }
 
-    /// When a leader that is held is let go of, unless more comes.
-    fn silent_at(&self) -> Micros {
-        let stale = self.led_at.map_or(Micros::MAX, |at| at + STALE);
-        (self.heard_at + SILENT).min(stale)
+    /// Returns when the leader that is followed is left, unless it sends more.
+    fn leader_timeout_at(&self) -> Micros {
+        let stale_at = self.led_at.map_or(Micros::MAX, |at| at + STALE_TIMEOUT);
+        stale_at.min(self.heard_at + SILENCE_TIMEOUT)
     }
 
-    /// What has been seen is to be told by then, not at the next regular time.
-    pub fn hurry(&mut self, by: Micros) {
+    /// Makes the next report go up by this time, not at the next regular one.
+    pub fn report_by(&mut self, by: Micros) {
         self.report_at = self.report_at.min(by);
     }
 
-    fn let_go(&mut self, now: Micros, pause: Micros) {
-        if matches!(self.link, Link::Held(_)) {
-            self.held_at = Some(self.heard_at);
+    fn on_disconnected(&mut self, now: Micros) {
+        let followed = match self.connection {
+            Connection::Following(leader) => Some(leader),
+            _ => None,
+        };
+        // A leader that was followed is asked once more first: a connection may break for its own reasons.
+        self.leader_hint = self.leader_hint.or(followed);
+        let pause = if followed.is_some() {
+            0
+        } else {
+            RETRY_INTERVAL
+        };
+        self.disconnect(now, pause);
+    }
+
+    fn disconnect(&mut self, now: Micros, pause: Micros) {
+        if matches!(self.connection, Connection::Following(_)) {
+            self.followed_at = Some(self.heard_at);
         }
-        (self.link, self.spoken, self.dial_at) = (Link::Down, None, now + pause);
+        self.connection = Connection::Disconnected;
+        self.connection_term = None;
+        self.connect_at = now + pause;
     }
 
-    fn heard(&mut self, now: Micros, told: &Fenced<Down>, actions: &mut Vec<Action>) {
-        let (Link::Up(asked) | Link::Held(asked)) = self.link else {
+    fn on_received(
+        &mut self,
+        now: Micros,
+        received: &Fenced<ControllerMessage>,
+        actions: &mut Vec<Action>,
+    ) {
+        let (Connection::Asking(sender) | Connection::Following(sender)) = self.connection else {
             return;
         };
-        let past = told.term < self.term;
-        if let Down::Elsewhere { leader, core } = &told.word {
-            // Places to ask at, from a machine that may be behind or ahead of all others: what it says moves no term, and
+        let is_of_the_past = received.term < self.term;
+        if let ControllerMessage::Redirect {
+            leader,
+            controllers,
+        } = &received.message
+        {
+            // Places to ask at, from a controller that may be behind or ahead of all others: what it says moves no term, and
             // one that knows of no newer term than an older leader's knows nothing new.
-            if !past {
-                self.learn(core);
-                self.hint = leader.filter(|l| *l != asked);
+            if !is_of_the_past {
+                self.learn(controllers);
+                self.leader_hint = leader.filter(|leader| *leader != sender);
             }
-            actions.push(Action::HangUp);
-            return self.let_go(now, if self.hint.is_some() { 0 } else { ASK_AGAIN });
+            actions.push(Action::Disconnect);
+            let pause = if self.leader_hint.is_some() {
+                0
+            } else {
+                RETRY_INTERVAL
+            };
+            return self.disconnect(now, pause);
         }
-        if past || self.spoken.is_some_and(|term| term != told.term) {
-            // Said by a leader of the past, or of more than one term: this link says nothing more.
-            actions.push(Action::HangUp);
-            return self.let_go(now, ASK_AGAIN);
+        if is_of_the_past
+            || self
+                .connection_term
+                .is_some_and(|term| term != received.term)
+        {
+            // Sent by a leader of the past, or in more than one term: nothing more is accepted on this connection.
+            actions.push(Action::Disconnect);
+            return self.disconnect(now, RETRY_INTERVAL);
         }
-        (self.term, self.spoken) = (told.term, Some(told.term));
-        match &told.word {
-            Down::Welcome {
-                core,
-                counters,
-                asked: at,
+        self.term = received.term;
+        self.connection_term = Some(received.term);
+        self.on_leader_message(now, sender, &received.message);
+        actions.push(Action::Accept);
+    }
+
+    fn on_leader_message(
+        &mut self,
+        now: Micros,
+        sender: SocketAddrV4,
+        message: &ControllerMessage,
+    ) {
+        match message {
+            ControllerMessage::Welcome {
+                controllers,
+                proxies,
+                confirmed_at,
             } => {
-                self.learn(core);
-                (self.link, self.hint, self.report_at) = (Link::Held(asked), None, now);
-                self.led_at = self.led_at.max(Some((*at).min(now)));
+                self.learn(controllers);
+                self.connection = Connection::Following(sender);
+                self.leader_hint = None;
+                self.report_at = now;
+                self.led_at = self.led_at.max(Some((*confirmed_at).min(now)));
                 self.confirmed_at = self.confirmed_at.max(self.led_at);
-                self.counters = (*counters).max(1);
+                self.proxies = (*proxies).max(1);
             }
-            Down::Beat {
-                counters,
-                asked: at,
-                edition,
+            ControllerMessage::Heartbeat {
+                proxies,
+                confirmed_at,
+                config_version,
             } => {
-                self.led_at = self.led_at.max(Some((*at).min(now)));
-                self.counters = (*counters).max(1);
-                // A beat goes before what is bulky: it confirms all only where nothing of that is still to come.
-                if self.edition >= *edition {
+                self.led_at = self.led_at.max(Some((*confirmed_at).min(now)));
+                self.proxies = (*proxies).max(1);
+                // A heartbeat goes before bulk data: it confirms everything only where nothing of that is still to come.
+                if self.config_version >= *config_version {
                     self.confirmed_at = self.confirmed_at.max(self.led_at);
                 }
             }
-            Down::Elsewhere { .. }
-            | Down::Piece(_)
-            | Down::Services(_)
-            | Down::Stage(..)
-            | Down::Listing(_) => {}
+            ControllerMessage::Redirect { .. }
+            | ControllerMessage::ConfigChunk(_)
+            | ControllerMessage::Services(_)
+            | ControllerMessage::Stage(..)
+            | ControllerMessage::Endpoints(_) => {}
         }
-        actions.push(Action::Take);
     }
 
-    fn learn(&mut self, core: &[SocketAddrV4]) {
-        if !core.is_empty() {
-            self.core = core.to_vec();
+    fn learn(&mut self, controllers: &[SocketAddrV4]) {
+        if !controllers.is_empty() {
+            self.controllers = controllers.to_vec();
         }
     }
 
-    fn pass(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let lost = match self.link {
-            Link::Down => false,
-            Link::Dialled(_) => now >= self.since + UP_WITHIN,
-            Link::Up(_) => now >= self.heard_at + SILENT,
-            Link::Held(_) => now >= self.silent_at(),
+    fn check_timers(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let has_timed_out = match self.connection {
+            Connection::Disconnected => false,
+            Connection::Connecting(_) => now >= self.connection_since + CONNECT_TIMEOUT,
+            Connection::Asking(_) => now >= self.heard_at + SILENCE_TIMEOUT,
+            Connection::Following(_) => now >= self.leader_timeout_at(),
         };
-        if lost {
-            actions.push(Action::HangUp);
-            self.let_go(now, 0);
+        if has_timed_out {
+            actions.push(Action::Disconnect);
+            self.disconnect(now, 0);
         }
-        if self.link == Link::Down && now >= self.dial_at {
-            if let Some(to) = self.next_asked() {
-                (self.link, self.since) = (Link::Dialled(to), now);
-                actions.push(Action::Dial(to));
+        if self.connection == Connection::Disconnected && now >= self.connect_at {
+            if let Some(to) = self.next_target() {
+                self.connection = Connection::Connecting(to);
+                self.connection_since = now;
+                actions.push(Action::Connect(to));
             } else {
-                self.dial_at = now + ASK_AGAIN;
+                self.connect_at = now + RETRY_INTERVAL;
             }
         }
-        if matches!(self.link, Link::Held(_)) && now >= self.report_at {
-            self.report_at = now + REPORT_EVERY;
-            actions.push(Action::Report);
+        if matches!(self.connection, Connection::Following(_)) && now >= self.report_at {
+            self.report_at = now + REPORT_INTERVAL;
+            actions.push(Action::SendReport);
         }
     }
 
-    /// The one that is said to lead, else all known ones in turn, the seeds among them: what was learnt may be older.
-    fn next_asked(&mut self) -> Option<SocketAddrV4> {
-        if let Some(hint) = self.hint.take() {
-            return Some(hint);
+    /// Returns who is said to lead, else the next one of all known controllers, the seeds among them: what was heard may be
+    /// older than they are.
+    fn next_target(&mut self) -> Option<SocketAddrV4> {
+        if let Some(leader) = self.leader_hint.take() {
+            return Some(leader);
         }
-        let mut all = self.core.clone();
-        all.extend(self.seeds.iter().filter(|s| !self.core.contains(s)));
+        let mut known = self.controllers.clone();
+        known.extend(
+            self.seeds
+                .iter()
+                .filter(|seed| !self.controllers.contains(seed)),
+        );
         self.turn = self.turn.wrapping_add(1);
-        (!all.is_empty()).then(|| all[self.turn % all.len()])
+        (!known.is_empty()).then(|| known[self.turn % known.len()])
     }
 }
--- a/crates/control-plane/src/deduplication.rs
+++ b/crates/control-plane/src/deduplication.rs
@@ -1,27 +1,28 @@
-//! Whether what an operator sends is the same thing again: documents by their digest, orders by their content and
-//! moment.
+//! Whether what an operator sends is the same thing again: configurations by their digest, rollout orders by their content and
+//! time.
 //!
-//! A document is compared by its bytes, not by what they mean: what is read back is then just what was acknowledged,
-//! fields that this release doesn't know count, and two releases never differ on whether two documents are the same.
-//! Callers send an unclear one again unchanged.
+//! A configuration is compared by its bytes, not by its meaning: what is read back is then exactly what was acknowledged,
+//! fields that this release doesn't know count, and two releases never differ on whether two documents are the same. Callers
+//! send a document whose answer was unclear again unchanged.
 //!
-//! An order carries no name. Sent again within `receipt` it is the same one, whatever has become of it; after that it is
-//! a new one. Machines have different clocks, so the replicated state never asks how late it is: the leader that gets an
-//! order says in its proposal which earlier one of the same content it holds for over ([`Witness::look`]), and an order
-//! that it has not seen, or not held for over, makes the proposal a copy of that one.
+//! An order has no identifier. Sent again within `receipt` (of the settings) it is the same one, whatever has become of it;
+//! after that it is a new one. Machines have different clocks, so the replicated state never asks how late it is: the leader
+//! that receives an order says in its proposal which earlier order of the same content it takes for finished
+//! ([`AcceptanceClock::propose`]); an order that it has not seen, or not taken for finished, makes the proposal a duplicate.
 
-use crate::state_machine::{Command, Records, Taken};
+use crate::state_machine::{AcceptedOrder, Command, ControlState};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// SHA-256 of a document, as `sha256sum` shows it.
+/// SHA-256 of a configuration, displayed as `sha256sum` does.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
+    /// Computes the digest of a text.
     pub fn of(text: &str) -> Digest {
         Digest(Sha256::digest(text.as_bytes()).into())
     }
@@ -39,87 +40,108 @@
     }
 }
 
-/// The last copy of an order is sent when `receipt` is over, and may be so long on its way here: a connection, a
-/// redirect or two.
-pub const TRAVEL: Micros = 1_500_000;
-/// Times of day on two machines differ by this at most. They stay close to the true time.
-pub const CLOCKS: Micros = 1_000_000;
+/// The last copy of an order is sent when `receipt` is over, and may take so long to arrive: a connection, a redirect or two.
+pub const MAX_DELIVERY_DELAY: Micros = 1_500_000;
+/// Times of day on two machines differ by this at most. They stay close to true time.
+pub const MAX_CLOCK_SKEW: Micros = 1_000_000;
 
-/// For how long orders have been taken, as one process saw it.
+/// A rollout order as an operator sends it.
+#[derive(Clone, Copy, Debug)]
+pub struct OrderContent<'a> {
+    /// The service to move.
+    pub service: &'a str,
+    /// The version to move it to.
+    pub target_version: &'a str,
+    /// The time that the rollout may take.
+    pub within: Micros,
+}
+
+/// When an order arrived.
+#[derive(Clone, Copy, Debug)]
+pub struct Arrival {
+    /// On this machine's monotonic clock.
+    pub at: Micros,
+    /// The time of day, in microseconds since 1970.
+    pub time_of_day: Micros,
+}
+
+/// For how long orders have been accepted, as one process saw it.
 ///
-/// It counts by its steady clock from when it applied the order, which was after the order was sent: so a copy is never
-/// held for a new order. Only of orders taken before this process started does it ask the time of day, and then counts
-/// [`CLOCKS`] less.
+/// It counts by its monotonic clock from when it applied the order, which was after the order was sent: so a copy is never
+/// taken for a new order. Only for orders accepted before this process started does it use the time of day, and then counts
+/// [`MAX_CLOCK_SKEW`] less.
 #[derive(Clone, Debug)]
-pub struct Witness {
-    started: Micros,
-    /// Time of day at the start, microseconds since 1970.
-    began: Micros,
-    /// By place in the log, when each was applied here.
-    seen: BTreeMap<u64, Micros>,
+pub struct AcceptanceClock {
+    started_at: Micros,
+    /// Time of day at the start, in microseconds since 1970.
+    started_time_of_day: Micros,
+    /// By log index, when each order was applied here.
+    applied_at: BTreeMap<u64, Micros>,
 }
 
-impl Witness {
-    /// At `now` on the steady clock it is `day`, microseconds since 1970.
-    pub fn new(now: Micros, day: Micros) -> Witness {
-        Witness {
-            started: now,
-            began: day,
-            seen: BTreeMap::new(),
+impl AcceptanceClock {
+    /// Starts at `now` on the monotonic clock, at `time_of_day` in microseconds since 1970.
+    pub fn new(now: Micros, time_of_day: Micros) -> AcceptanceClock {
+        AcceptanceClock {
+            started_at: now,
+            started_time_of_day: time_of_day,
+            applied_at: BTreeMap::new(),
         }
     }
 
-    /// The records have changed: orders that are new in them are taken now; what is no longer in them is forgotten.
-    pub fn applied(&mut self, now: Micros, records: &Records) {
-        let kept: BTreeMap<u64, Micros> = records
-            .orders
-            .values()
-            .flatten()
-            .map(|taken| {
-                (
-                    taken.order,
-                    self.seen.get(&taken.order).copied().unwrap_or(now),
-                )
-            })
-            .collect();
-        self.seen = kept;
+    /// Takes note that the replicated state has changed: orders that are new in it are accepted now, and those no longer in
+    /// it are forgotten.
+    pub fn on_state_change(&mut self, now: Micros, state: &ControlState) {
+        let applied_at = |id: u64| (id, self.applied_at.get(&id).copied().unwrap_or(now));
+        let accepted = state.orders.values().flatten();
+        self.applied_at = accepted.map(|order| applied_at(order.id)).collect();
     }
 
-    /// For how long it has been taken at least, in microseconds.
-    pub fn age(&self, now: Micros, taken: &Taken) -> Micros {
-        let seen = now.saturating_sub(self.seen.get(&taken.order).copied().unwrap_or(now));
-        if taken.at == 0 {
-            return seen;
+    /// Returns for how long an order has been accepted at least.
+    pub fn age(&self, now: Micros, order: &AcceptedOrder) -> Micros {
+        let applied_at = self.applied_at.get(&order.id).copied().unwrap_or(now);
+        let since_applied = now.saturating_sub(applied_at);
+        if order.accepted_at == 0 {
+            return since_applied;
         }
-        // How long it was taken when this process began; nothing if that was later.
-        let before = self.began.saturating_sub(taken.at.saturating_add(CLOCKS));
-        match before {
-            0 => seen,
-            before => seen.max(now.saturating_sub(self.started) + before),
+        // How old it was when this process started; nothing if it was accepted later.
+        let age_at_start = self
+            .started_time_of_day
+            .saturating_sub(order.accepted_at.saturating_add(MAX_CLOCK_SKEW));
+        match age_at_start {
+            0 => since_applied,
+            age_at_start => since_applied.max(now.saturating_sub(self.started_at) + age_at_start),
         }
     }
 
-    /// The proposal for an order that came at `now`, `day` being the time of day; None where it is known as taken.
-    /// `receipt` is for how long an order may be sent again.
-    pub fn look(
+    /// Returns the command to propose for an order; none where the order is known to be accepted already. `receipt` is for how
+    /// long an order may be sent again.
+    pub fn propose(
         &self,
-        records: &Records,
-        (now, day): (Micros, Micros),
-        (service, to, within): (&str, &str, u64),
+        state: &ControlState,
+        arrival: Arrival,
+        order: OrderContent<'_>,
         receipt: Micros,
     ) -> Option<Command> {
-        let known = records.taken(service, to, within);
-        let after = match known {
-            Some(taken) if self.age(now, taken) <= receipt + TRAVEL => return None,
-            Some(taken) => taken.order,
+        let OrderContent {
+            service,
+            target_version,
+            within,
+        } = order;
+        let known = state.accepted_order(service, target_version, within);
+        let finished_id = match known {
+            Some(known) if self.age(arrival.at, known) <= receipt + MAX_DELIVERY_DELAY => {
+                return None
+            }
+            Some(known) => known.id,
             None => 0,
         };
-        Some(Command::Order {
+        Some(Command::BeginRollout {
             service: service.into(),
-            to: to.into(),
+            target_version: target_version.into(),
             within,
-            after,
-            at: day,
+            finished_id,
+            accepted_at: arrival.time_of_day,
         })
     }
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,17 +1,18 @@
-//! How counters and sorting machines keep together.
+//! How proxies and controllers work together: the replicated state, the messages, and the sessions between them.
 //!
-//! - [`records`]: what the sorting machines agree on, and the commands that change it.
-//! - [`orders`]: whether what an operator sends is the same thing again.
-//! - [`form`]: format numbers of what is stored and sent.
-//! - [`delta`]: a new edition as what has changed since another one; long messages and commands in fewer bytes.
-//! - [`feed`]: how editions go out to counters, piece by piece, behind all that is more urgent.
-//! - [`intake`]: how a counter puts the pieces together.
-//! - [`words`]: what counters and sorting machines say to each other.
-//! - [`tendril`]: a counter's hold on the leading sorting machine, found through seeds that may be old.
-//! - [`roster`]: the leader's view of the counters, and what each of them has to be told.
+//! | module | what it holds |
+//! | --- | --- |
+//! | [`codec`] | format numbers of what is stored and sent |
+//! | [`delta`] | a text as its difference from another one; compression |
+//! | [`deduplication`] | whether an operator's order is the same one again |
+//! | [`state_machine`] | the replicated state, and the commands that change it |
+//! | [`messages`] | what proxies and controllers say to each other |
+//! | [`config_sender`] | how configurations go out to proxies, in chunks behind all that is more urgent |
+//! | [`config_receiver`] | how a proxy puts the chunks together |
+//! | [`controller_client`] | a proxy's session with the leader, found through seeds that may be out of date |
+//! | [`proxy_registry`] | the leader's view of the proxies |
 //!
-//! No I/O and no clock: events and the time go in, actions come out. Times are microseconds on the steady clock of
-//! the machine that runs the code.
+//! No I/O and no clock: events and the time go in, actions come out.
 
 pub mod codec;
 pub mod config_receiver;
@@ -23,5 +24,5 @@
 pub mod proxy_registry;
 pub mod state_machine;
 
-/// A time span or an instant on a steady clock, in microseconds.
+/// An instant on the monotonic clock of the machine that runs the code, or a span of time, in microseconds.
 pub type Micros = u64;
--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -1,251 +1,326 @@
-//! What counters and sorting machines say to each other. One message is one frame: its length in four bytes, the
-//! least significant first, then its form: a number and the message's bytes, squeezed where that is worth it ([`form`]).
+//! What proxies and controllers say to each other.
+//!
+//! One message is one frame: its length in four bytes, the least significant first, then the message as [`codec`] encodes it.
+//! The order of fields and of variants is the wire format.
 
-use crate::codec::{self, Form, Unreadable};
-use crate::state_machine::Standing;
+use crate::codec::{self, DecodeError, Encoded};
+use crate::state_machine::{Phase, ServiceState};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// Longest frame that is read; a configuration of 37,000 routes takes some 12 MB.
-pub const LONGEST: usize = 32 << 20;
+/// The longest frame that is read, in bytes; a configuration of 37,000 routes takes some 12 MB.
+pub const MAX_FRAME_BYTES: usize = 32 << 20;
+/// Bytes of a frame's length.
+const LENGTH_BYTES: usize = 4;
+/// What a frame is called in errors.
+const FRAME: &str = "frame";
 
-/// How an appliance stands on the platform's list.
+/// The state of an endpoint on the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum EndpointState {
+    /// It serves.
     Ready,
     /// It is about to end; nothing new is sent to it.
-    Closing,
+    Draining,
 }
 
-/// An appliance as listed.
+/// An endpoint (an appliance of a service) as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct Endpoint {
+    /// The service that it belongs to.
     pub service: Arc<str>,
+    /// Where it listens.
     pub address: SocketAddrV4,
+    /// The zone that it is in.
     pub zone: Arc<str>,
+    /// The version that it runs.
     pub version: Arc<str>,
-    /// Requests that it works on at a time.
-    pub berths: u32,
-    pub state: State,
-    /// Microseconds left, when this was said, until it is no longer slow from its start.
-    pub cold: u64,
+    /// Requests that it works on at a time (`berths`).
+    pub concurrency: u32,
+    /// Whether it serves.
+    pub state: EndpointState,
+    /// Microseconds, as of when this was sent, until it has warmed up (`cold_left`).
+    pub warmup_left: u64,
 }
 
-/// How appliances have changed, or all of them.
+/// How the endpoints have changed, or all of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listing {
-    /// Whether what is not in here is gone.
-    pub whole: bool,
-    /// Id and entry; none: gone.
-    pub entries: Vec<(Arc<str>, Option<Entry>)>,
+pub struct EndpointUpdate {
+    /// Whether endpoints that are not in here are gone.
+    pub is_full: bool,
+    /// Id and endpoint; none: it is gone.
+    pub endpoints: Vec<(Arc<str>, Option<Endpoint>)>,
 }
 
-/// What a counter has seen of one arm of a rollout on one route: totals since the trial began there.
+/// What a proxy has seen of one arm of a rollout on one route: totals since the trial began there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Totals {
-    /// First forwards that say something of the build, and those of them that were served in time.
+pub struct ArmTotals {
+    /// First attempts that say something of the version.
     pub pulls: u32,
-    pub in_time: u32,
-    /// Answers and breaks that count as bad, of all forwards.
+    /// Those of them that were served in time.
+    pub on_time: u32,
+    /// Bad answers and broken connections, of all attempts.
     pub bad: u32,
-    /// All forwards with an outcome.
+    /// All attempts with an outcome.
     pub outcomes: u32,
-    /// Milliseconds that served ones took, summed.
-    pub spent_ms: u64,
+    /// The sum of the times that served ones took, in milliseconds.
+    pub latency_sum_ms: u64,
     /// How many were served.
     pub served: u32,
 }
 
-/// What a counter has met at one appliance of the trial build.
+impl ArmTotals {
+    /// Returns what was added since older totals of the same kind; nothing where they are not older.
+    #[must_use]
+    pub fn since(&self, old: &ArmTotals) -> ArmTotals {
+        ArmTotals {
+            pulls: self.pulls.saturating_sub(old.pulls),
+            on_time: self.on_time.saturating_sub(old.on_time),
+            bad: self.bad.saturating_sub(old.bad),
+            outcomes: self.outcomes.saturating_sub(old.outcomes),
+            latency_sum_ms: self.latency_sum_ms.saturating_sub(old.latency_sum_ms),
+            served: self.served.saturating_sub(old.served),
+        }
+    }
+
+    /// Adds other totals.
+    pub fn add(&mut self, other: &ArmTotals) {
+        self.pulls += other.pulls;
+        self.on_time += other.on_time;
+        self.bad += other.bad;
+        self.outcomes += other.outcomes;
+        self.latency_sum_ms += other.latency_sum_ms;
+        self.served += other.served;
+    }
+}
+
+/// What a proxy has seen of one endpoint of the version on trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spot {
+pub struct EndpointTotals {
     /// Its id, as a number that is the same everywhere.
-    pub appliance: u32,
+    pub endpoint: u32,
+    /// Attempts with an outcome.
     pub outcomes: u32,
-    /// Failures of its own, and answers that came late while it was warm.
+    /// Failures of its own.
     pub bad: u32,
+    /// Answers that came late while it was warm.
     pub late: u32,
 }
 
-/// How far a trial is open.
+/// How much of a service's traffic may go to a version on trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Stage {
-    /// Of a service's requests, the share that may go to the trial build.
+pub struct TrialStage {
+    /// The share of the service's requests that may go to the version on trial.
     pub share: f64,
-    /// Only requests that may run again go there.
-    pub guarded: bool,
-    /// So many of its appliances get what goes there, the same ones from all counters; 0: all of them.
-    pub focus: u32,
+    /// Only idempotent requests go there.
+    pub idempotent_only: bool,
+    /// So many of its endpoints get what goes there, the same ones from all proxies; 0: all of them.
+    pub max_endpoints: u32,
 }
 
-/// What a counter makes of a trial.
+/// A proxy's vote on a version on trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Vote {
+    /// Undecided.
     #[default]
     None,
-    Back,
-    On,
+    /// For taking it back.
+    RollBack,
+    /// For going on with it.
+    Promote,
 }
 
-/// A counter's evidence on one rollout.
+/// A proxy's evidence on one rollout.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Evidence {
+pub struct TrialEvidence {
+    /// The service.
     pub service: Arc<str>,
-    /// The order that it is about.
-    pub order: u64,
+    /// The rollout's id.
+    pub rollout_id: u64,
+    /// The proxy's vote.
     pub vote: Vote,
-    /// By route (a hash of its name): the earlier arm's totals, then the trial's.
-    pub totals: Vec<(u64, [Totals; 2])>,
-    /// What the trial build's appliances gave.
-    pub spots: Vec<Spot>,
-    /// Requests for the service that were taken since the order.
-    pub taken: u64,
-    /// Forwards under way to appliances of versions that the counter sends nothing new to.
-    pub under_way: u32,
-    /// Microseconds since the counter first heard of the order.
+    /// By route (a hash of its name): the totals of the earlier version, then of the one on trial.
+    pub totals: Vec<(u64, [ArmTotals; 2])>,
+    /// What was seen of the endpoints of the version on trial.
+    pub endpoints: Vec<EndpointTotals>,
+    /// Requests for the service that were accepted since the order.
+    pub requests: u64,
+    /// Attempts in flight at endpoints of versions that the proxy sends nothing new to.
+    pub draining: u32,
+    /// Microseconds since the proxy first heard of the order.
     pub age: u64,
-    /// The newest phase that the counter knows of.
-    pub phase: Option<crate::state_machine::Phase>,
+    /// The newest phase that the proxy knows of.
+    pub phase: Option<Phase>,
 }
 
-/// Who a counter is: the first thing that it says on a link.
+/// Who a proxy is: the first message of a session.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
+    /// The machine's name.
     pub node: String,
+    /// Its zone.
     pub zone: String,
-    /// Differs between starts.
+    /// Different at each start of the process.
     pub incarnation: u64,
-    /// The edition that it holds whole; 0: none.
-    pub edition: u64,
-    /// The highest term that a leader has spoken to it in; 0: none in this life.
+    /// The version of the configuration that it has; 0: none.
+    pub config_version: u64,
+    /// The highest term that a leader has spoken to it in; 0: none since its start.
     pub term: u64,
-    /// When it says so, on its own clock.
-    pub at: Micros,
+    /// When it sends this, on its own clock.
+    pub sent_at: Micros,
 }
 
-/// A counter's sign of life, with what has changed.
+/// A proxy's heartbeat, with what has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The edition in force.
-    pub edition: u64,
-    pub evidence: Vec<Evidence>,
+    /// The version of the configuration in force.
+    pub config_version: u64,
+    /// Its evidence on rollouts.
+    pub evidence: Vec<TrialEvidence>,
     /// As in [`Hello`].
     pub term: u64,
-    pub at: Micros,
+    /// As in [`Hello`].
+    pub sent_at: Micros,
 }
 
-/// A part of an edition that is on its way, as what has changed since another one ([`crate::delta::diff`]).
+/// A chunk of a configuration, as its difference from another one ([`crate::delta::diff`]).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
-    pub number: u64,
-    /// The edition that it is put on; 0: none, it is told whole.
-    pub from: u64,
-    /// Bytes that are told in all pieces together, and how many came before this one.
-    pub length: u32,
-    pub at: u32,
+pub struct ConfigChunk {
+    /// The version of the configuration.
+    pub version: u64,
+    /// The version that the difference applies to; 0: none, it is sent in full.
+    pub base_version: u64,
+    /// Bytes of all chunks together.
+    pub total_bytes: u32,
+    /// How many bytes come before this chunk.
+    pub offset: u32,
+    /// The chunk.
     pub bytes: Vec<u8>,
 }
 
-/// What a counter says.
+/// What a proxy says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Up {
+pub enum ProxyMessage {
+    /// Opens the session.
     Hello(Hello),
+    /// Keeps it alive.
     Report(Report),
-    /// So many bytes of an edition that is on its way are here; more are awaited.
-    Got {
-        number: u64,
-        upto: u32,
+    /// Acknowledges a chunk; more are awaited.
+    ChunkReceived {
+        /// The version of the configuration.
+        version: u64,
+        /// Bytes that are here.
+        received: u32,
     },
-    /// An edition that came is done with, and this one is in force; 0: it did not go with what is held here.
-    Holds {
-        edition: u64,
+    /// The transfer of a configuration is over, and this version is in force; 0: the difference did not apply to the version
+    /// that the proxy has.
+    ConfigApplied {
+        /// The version in force.
+        version: u64,
     },
 }
 
-/// A word with its fencing token: the term that it is said in. Whoever has heard a leader of a newer term refuses it.
+/// A message with its fencing token: the term that it is sent in. Whoever has heard a leader of a newer term rejects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fenced<W> {
+pub struct Fenced<M> {
+    /// The sender's term.
     pub term: u64,
-    pub word: W,
+    /// The message.
+    pub message: M,
 }
 
-/// What a sorting machine says to a counter, always as [`Fenced`]. All but `Elsewhere` are a leader's, on a link that it
-/// took up after a majority had confirmed it, and they come in the order in which they were said.
+/// What a controller says to a proxy, always as [`Fenced`].
+///
+/// All but `Redirect` are a leader's, in a session that it accepted after a majority had confirmed it, and they arrive in the
+/// order in which they were sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Down {
-    /// It does not lead, or can't show that it does. Who does, as far as it knows, and who else there is: places to ask
-    /// at, nothing that is in force.
-    Elsewhere {
+pub enum ControllerMessage {
+    /// The controller does not lead, or can't show that it does. These are places to ask at, nothing that is in force.
+    Redirect {
+        /// Who leads, as far as it knows.
         leader: Option<SocketAddrV4>,
-        core: Vec<SocketAddrV4>,
+        /// The controllers.
+        controllers: Vec<SocketAddrV4>,
     },
-    /// It leads, and the counter is known now, and has in force all that was acknowledged before `asked`, the moment of
-    /// its hello on its own clock. How many counters there are.
+    /// The controller leads, and the proxy is registered, and has in force all that was acknowledged before `confirmed_at`.
     Welcome {
-        core: Vec<SocketAddrV4>,
-        counters: u32,
-        asked: Micros,
+        /// The controllers.
+        controllers: Vec<SocketAddrV4>,
+        /// How many proxies there are.
+        proxies: u32,
+        /// When the proxy sent its hello, on the proxy's clock.
+        confirmed_at: Micros,
     },
-    /// A part of a new edition. Never more than a few are on their way, and all else goes before the next.
-    Piece(Piece),
-    /// Standings that have changed.
-    Services(Vec<(String, Standing)>),
-    /// How far a rollout's trial is open: service, order.
-    Stage(Arc<str>, u64, Stage),
-    Listing(Listing),
-    /// A sign of life: it still leads, and nobody else did when this was said. The counter has been told all that was
-    /// acknowledged before `asked`, the moment of its newest report on its own clock, once it has this edition or a newer
-    /// one in force.
-    Beat {
-        counters: u32,
-        asked: Micros,
-        edition: u64,
+    /// A chunk of a new configuration. Only a few are in flight, and everything else goes before the next one.
+    ConfigChunk(ConfigChunk),
+    /// Services whose state has changed.
+    Services(Vec<(String, ServiceState)>),
+    /// The stage of a trial: service, rollout id, stage.
+    Stage(Arc<str>, u64, TrialStage),
+    /// Endpoints that have changed.
+    Endpoints(EndpointUpdate),
+    /// The controller still leads, and nobody else did when this was sent. Once the proxy has this configuration or a newer one
+    /// in force, it knows all that was acknowledged before `confirmed_at`.
+    Heartbeat {
+        /// How many proxies there are.
+        proxies: u32,
+        /// When the proxy sent its newest report, on the proxy's clock.
+        confirmed_at: Micros,
+        /// The version of the newest configuration.
+        config_version: u64,
     },
 }
 
-/// What is said first on a connection between agents.
+/// What a connection between agents is for: the first message on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Opening {
-    /// A counter: [`Up`] and [`Down`] follow.
-    Counter,
-    /// A sorting machine: messages of the agreement follow, one way. The sender's own address.
-    Sorting(SocketAddrV4),
-    /// Somebody who wants to see the agent's view: one answer follows.
+pub enum ConnectionPurpose {
+    /// A proxy's session: [`ProxyMessage`] and [`ControllerMessage`] follow.
+    ProxySession,
+    /// Consensus messages of another controller follow, one way. The sender's address.
+    Consensus(SocketAddrV4),
+    /// Somebody wants to see the agent's state: one answer follows.
     View,
 }
 
-/// What can't be read, in the words of a complaint.
-const FRAME: &str = "frame";
-
-/// A message as a frame.
-pub fn frame<T: Serialize>(message: &T) -> Vec<u8> {
-    let bytes = codec::pack(message);
-    let mut frame = Vec::with_capacity(4 + bytes.len());
+/// Encodes a message as a frame.
+pub fn encode_frame<T: Serialize>(message: &T) -> Vec<u8> {
+    let bytes = codec::encode(message);
+    let mut frame = Vec::with_capacity(LENGTH_BYTES + bytes.len());
     frame.extend((bytes.len() as u32).to_le_bytes());
     frame.extend(bytes);
     frame
 }
 
-/// Takes the next frame's message off the front of `bytes`. `Ok(None)` while it is not whole; an error says that
-/// what came is no message, and nothing after it can be read.
-pub fn unframe<T: for<'a> Deserialize<'a>>(bytes: &mut Vec<u8>) -> Result<Option<T>, Unreadable> {
-    let Some(head) = bytes.first_chunk::<4>() else {
+/// Takes the next frame off the front of `bytes` and decodes its message. Returns none while the frame is incomplete.
+///
+/// # Errors
+///
+/// If what arrived is no message; nothing after it can be read.
+pub fn decode_frame<T: for<'a> Deserialize<'a>>(
+    bytes: &mut Vec<u8>,
+) -> Result<Option<T>, DecodeError> {
+    let Some(length) = bytes.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
-    let length = u32::from_le_bytes(*head) as usize;
-    if length > LONGEST {
-        let (found, expected) = (format!("{length} bytes"), format!("at most {LONGEST}"));
-        return Err(Unreadable::of(FRAME, found, expected));
+    let length = u32::from_le_bytes(*length) as usize;
+    if length > MAX_FRAME_BYTES {
+        let found = format!("{length} bytes");
+        return Err(DecodeError::new(
+            FRAME,
+            found,
+            format!("at most {MAX_FRAME_BYTES}"),
+        ));
     }
-    let Some(told) = bytes.get(4..4 + length) else {
+    let end = LENGTH_BYTES + length;
+    let Some(encoded) = bytes.get(LENGTH_BYTES..end) else {
         return Ok(None);
     };
-    let message = match codec::open(FRAME, told)? {
-        Form::First(_) => return Err(codec::unnumbered(FRAME)),
-        Form::Known(value) => codec::whole(FRAME, &value)?,
+    let message = match codec::read_format(FRAME, encoded)? {
+        Encoded::Unversioned(_) => return Err(DecodeError::unversioned(FRAME)),
+        Encoded::Current(value) => codec::decode_exact(FRAME, &value)?,
     };
-    bytes.drain(..4 + length);
+    bytes.drain(..end);
     Ok(Some(message))
 }
--- a/crates/control-plane/src/proxy_registry.rs
+++ b/crates/control-plane/src/proxy_registry.rs
@@ -1,225 +1,241 @@
-//! The leader's view of the counters: who is there, what is in force at each, what each has seen of a trial.
+//! The leader's view of the proxies: who is there, what is in force at each, what each has seen of a trial.
 //!
-//! Totals, not steps: what a counter tells replaces what it told before, so loss and repeats do no harm. A counter
-//! that starts anew begins new totals; what its earlier life told is kept, as it was seen.
+//! Proxies report totals, not steps: a report replaces the one before, so losses and duplicates do no harm. A proxy that
+//! restarts begins new totals; what its earlier incarnation reported is kept, as it was seen.
 //!
-//! Links belong to one leadership. A counter is taken up only in the term in which a majority has confirmed this machine
-//! after the counter asked; when the term ends, all its links end, and a counter that has heard a leader of a newer term
-//! is let go of.
+//! Sessions belong to one leadership. A proxy is registered only in the term in which a majority has confirmed this controller
+//! after the proxy asked; when the term ends, all its sessions end, and so does the session of a proxy that has heard a leader
+//! of a newer term.
 
-use crate::messages::{Evidence, Hello, Report, Spot, Totals, Vote};
+use crate::messages::{ArmTotals, EndpointTotals, Hello, Report, TrialEvidence, Vote};
+use crate::state_machine::Phase;
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// A counter that has not been heard of for so long is away: three of its reports.
-const AWAY: Micros = 1_500_000;
-/// A counter that has been away for so long no longer counts as one that may come back with its part of a sum.
-const FORGOTTEN: Micros = 120_000_000;
+/// A proxy that has not been heard for so long is away: three of its reports.
+const AWAY_AFTER: Micros = 1_500_000;
+/// A proxy that has been away for so long no longer counts as one that may come back with its part of a sum.
+const FORGOTTEN_AFTER: Micros = 120_000_000;
 
-/// One counter.
+/// One proxy.
 #[derive(Clone, Debug, Default)]
-pub struct Counter {
+pub struct ProxyEntry {
+    /// Its zone.
     pub zone: String,
+    /// Different at each start of its process.
     pub incarnation: u64,
-    pub edition: u64,
+    /// The version of the configuration in force there.
+    pub config_version: u64,
+    /// When it was last heard.
     pub heard_at: Micros,
-    /// The link that it holds, if any.
-    pub link: Option<u64>,
-    /// When it sent what was last heard of it, on its own clock.
-    pub asked: Micros,
-    /// The newest evidence of this life, by service.
-    pub evidence: BTreeMap<String, Evidence>,
+    /// Its session, if it has one.
+    pub session: Option<u64>,
+    /// When it sent what was last heard, on its own clock.
+    pub reported_at: Micros,
+    /// The newest evidence of this incarnation, by service.
+    pub evidence: BTreeMap<String, TrialEvidence>,
 }
 
-impl Counter {
-    pub fn away(&self, now: Micros) -> bool {
-        self.link.is_none() || now >= self.heard_at + AWAY
+impl ProxyEntry {
+    /// Whether it has no session, or has not been heard for a while.
+    pub fn is_away(&self, now: Micros) -> bool {
+        self.session.is_none() || now >= self.heard_at + AWAY_AFTER
     }
 }
 
-/// All counters, by name.
+/// All proxies, by name.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
-    /// The term in which this machine leads; none: it doesn't.
+pub struct ProxyRegistry {
+    /// The term in which this controller leads; none: it doesn't.
     term: Option<u64>,
-    counters: BTreeMap<String, Counter>,
-    /// Evidence of lives that have ended.
-    past: Vec<Evidence>,
+    proxies: BTreeMap<String, ProxyEntry>,
+    /// Evidence of incarnations that have ended.
+    past_evidence: Vec<TrialEvidence>,
 }
 
-/// What all counters together have seen of a rollout.
+/// What all proxies together have seen of a rollout.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Pooled {
-    /// By route: the earlier arm's totals, then the trial's.
-    pub routes: BTreeMap<u64, [Totals; 2]>,
-    /// What the trial build's appliances gave.
-    pub spots: BTreeMap<u32, Spot>,
-    /// Requests taken for the service since the order.
-    pub taken: u64,
-    /// The longest time that a counter has known of the order, in microseconds.
+pub struct PooledEvidence {
+    /// By route: the totals of the earlier version, then of the one on trial.
+    pub routes: BTreeMap<u64, [ArmTotals; 2]>,
+    /// What was seen of the endpoints of the version on trial.
+    pub endpoints: BTreeMap<u32, EndpointTotals>,
+    /// Requests for the service that were accepted since the order.
+    pub requests: u64,
+    /// The longest time that a proxy has known of the order, in microseconds.
     pub age: u64,
-    /// Counters that vote it back, and on.
-    pub back: u32,
-    pub on: u32,
-    /// Counters that have told anything of it.
-    pub voices: u32,
+    /// Proxies that vote for taking the version back.
+    pub rollback_votes: u32,
+    /// Proxies that vote for going on with it.
+    pub promote_votes: u32,
+    /// Proxies that have reported anything of it.
+    pub reporters: u32,
 }
 
-impl Totals {
-    /// What is new since older totals of the same kind; nothing where they are not older.
-    pub fn since(&self, old: &Totals) -> Totals {
-        Totals {
-            pulls: self.pulls.saturating_sub(old.pulls),
-            in_time: self.in_time.saturating_sub(old.in_time),
-            bad: self.bad.saturating_sub(old.bad),
-            outcomes: self.outcomes.saturating_sub(old.outcomes),
-            spent_ms: self.spent_ms.saturating_sub(old.spent_ms),
-            served: self.served.saturating_sub(old.served),
+impl PooledEvidence {
+    fn add(&mut self, evidence: &TrialEvidence) {
+        self.reporters += 1;
+        self.requests += evidence.requests;
+        self.age = self.age.max(evidence.age);
+        for endpoint in &evidence.endpoints {
+            let sum = self.endpoints.entry(endpoint.endpoint).or_default();
+            sum.endpoint = endpoint.endpoint;
+            sum.outcomes += endpoint.outcomes;
+            sum.bad += endpoint.bad;
+            sum.late += endpoint.late;
+        }
+        self.rollback_votes += u32::from(evidence.vote == Vote::RollBack);
+        self.promote_votes += u32::from(evidence.vote == Vote::Promote);
+        for (route, arms) in &evidence.totals {
+            let sums = self.routes.entry(*route).or_default();
+            for (sum, arm) in sums.iter_mut().zip(arms) {
+                sum.add(arm);
+            }
         }
     }
+}
 
-    /// Adds another's totals.
-    pub fn add(&mut self, other: &Totals) {
-        self.pulls += other.pulls;
-        self.in_time += other.in_time;
-        self.bad += other.bad;
-        self.outcomes += other.outcomes;
-        self.spent_ms += other.spent_ms;
-        self.served += other.served;
-    }
+/// How far proxies have drained the old version of a service.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct DrainProgress {
+    /// Attempts in flight to the old version, at proxies that know of the promotion.
+    pub in_flight: u32,
+    /// Proxies that are there and have not reported that they know of it.
+    pub unaware: u32,
 }
 
-impl Roster {
-    /// This machine leads in this term from now on, or no longer; whether that is new. Then links of before are to end,
-    /// and what was heard on them means nothing.
-    pub fn leads_in(&mut self, term: Option<u64>) -> bool {
-        let new = self.term != term;
-        if new {
-            *self = Roster {
+impl ProxyRegistry {
+    /// Takes note that this controller leads in this term from now on, or no longer. Returns whether that is a change: then all
+    /// sessions before are to end, and what was heard in them means nothing.
+    pub fn set_leadership(&mut self, term: Option<u64>) -> bool {
+        let has_changed = self.term != term;
+        if has_changed {
+            *self = ProxyRegistry {
                 term,
-                ..Roster::default()
+                ..ProxyRegistry::default()
             };
         }
-        new
+        has_changed
     }
 
-    /// The term in which this machine leads.
+    /// Returns the term in which this controller leads.
     pub fn term(&self) -> Option<u64> {
         self.term
     }
 
-    /// A counter has said who it is, on this link, and then a majority has confirmed that this machine leads in the term
-    /// `confirmed`. `false`: it can't be taken up, as that term is over, here or as the counter knows.
-    pub fn hello(&mut self, now: Micros, link: u64, confirmed: u64, hello: &Hello) -> bool {
+    /// Registers a proxy that has sent a hello in this session, after which a majority has confirmed that this controller leads
+    /// in the term `confirmed`. Returns false if that term is over, here or as the proxy knows.
+    pub fn register(&mut self, now: Micros, session: u64, confirmed: u64, hello: &Hello) -> bool {
         if self.term != Some(confirmed) || hello.term > confirmed {
             return false;
         }
-        let counter = self.counters.entry(hello.node.clone()).or_default();
-        if counter.incarnation != hello.incarnation {
-            let evidence = std::mem::take(&mut counter.evidence);
-            self.past.extend(evidence.into_values());
-            self.past
-                .retain(|e| e.phase.is_some() || !e.totals.is_empty());
+        let proxy = self.proxies.entry(hello.node.clone()).or_default();
+        if proxy.incarnation != hello.incarnation {
+            let evidence = std::mem::take(&mut proxy.evidence);
+            self.past_evidence.extend(evidence.into_values());
+            let says_something =
+                |evidence: &TrialEvidence| evidence.phase.is_some() || !evidence.totals.is_empty();
+            self.past_evidence.retain(says_something);
         }
-        *counter = Counter {
+        *proxy = ProxyEntry {
             zone: hello.zone.clone(),
             incarnation: hello.incarnation,
-            edition: hello.edition,
+            config_version: hello.config_version,
             heard_at: now,
-            link: Some(link),
-            asked: hello.at,
-            evidence: std::mem::take(&mut counter.evidence),
+            session: Some(session),
+            reported_at: hello.sent_at,
+            evidence: std::mem::take(&mut proxy.evidence),
         };
         true
     }
 
-    /// A counter's report. `false`: it has heard a leader of a newer term, and its link is to end.
-    pub fn report(&mut self, now: Micros, link: u64, report: Report) -> bool {
+    /// Takes in a proxy's report. Returns false if it has heard a leader of a newer term: its session is to end.
+    pub fn on_report(&mut self, now: Micros, session: u64, report: Report) -> bool {
         if self.term.is_none_or(|term| report.term > term) {
-            self.closed(link);
+            self.on_closed(session);
             return false;
         }
-        let Some(counter) = self.counters.values_mut().find(|c| c.link == Some(link)) else {
+        let Some(proxy) = self
+            .proxies
+            .values_mut()
+            .find(|proxy| proxy.session == Some(session))
+        else {
             return true;
         };
-        (counter.heard_at, counter.edition, counter.asked) = (now, report.edition, report.at);
-        for told in report.evidence {
-            counter.evidence.insert(told.service.to_string(), told);
+        proxy.heard_at = now;
+        proxy.config_version = report.config_version;
+        proxy.reported_at = report.sent_at;
+        for evidence in report.evidence {
+            proxy
+                .evidence
+                .insert(evidence.service.to_string(), evidence);
         }
         true
     }
 
-    /// Links and, on each counter's own clock, when it sent what was last heard of it.
-    pub fn asked(&self) -> impl Iterator<Item = (u64, Micros)> + '_ {
-        self.counters
+    /// Returns all sessions and, on each proxy's own clock, when it sent what was last heard.
+    pub fn report_times(&self) -> impl Iterator<Item = (u64, Micros)> + '_ {
+        self.proxies
             .values()
-            .filter_map(|c| Some((c.link?, c.asked)))
+            .filter_map(|proxy| Some((proxy.session?, proxy.reported_at)))
     }
 
-    /// A link has ended.
-    pub fn closed(&mut self, link: u64) {
-        self.counters
+    /// Takes note that a session has ended.
+    pub fn on_closed(&mut self, session: u64) {
+        for proxy in self
+            .proxies
             .values_mut()
-            .filter(|c| c.link == Some(link))
-            .for_each(|c| c.link = None);
+            .filter(|proxy| proxy.session == Some(session))
+        {
+            proxy.session = None;
+        }
     }
 
-    /// How many counters there are, for sums that each holds a part of: those that may come back count too.
+    /// Returns how many proxies there are, for sums that each holds a part of: those that may come back count too.
     pub fn count(&mut self, now: Micros) -> u32 {
-        self.counters
-            .retain(|_, c| !c.away(now) || now < c.heard_at + FORGOTTEN);
-        self.counters.len() as u32
+        let may_come_back = |proxy: &ProxyEntry| now < proxy.heard_at + FORGOTTEN_AFTER;
+        self.proxies
+            .retain(|_, proxy| !proxy.is_away(now) || may_come_back(proxy));
+        self.proxies.len() as u32
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (&String, &Counter)> {
-        self.counters.iter()
+    /// Returns all proxies, by name.
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &ProxyEntry)> {
+        self.proxies.iter()
     }
 
-    /// What all have seen of one order.
-    pub fn pooled(&self, service: &str, order: u64) -> Pooled {
-        let mut pooled = Pooled::default();
+    /// Returns what all proxies have seen of one rollout.
+    pub fn pooled_evidence(&self, service: &str, rollout_id: u64) -> PooledEvidence {
+        let mut pooled = PooledEvidence::default();
         let present = self
-            .counters
+            .proxies
             .values()
-            .filter_map(|c| c.evidence.get(service));
-        for evidence in present.chain(self.past.iter().filter(|e| &*e.service == service)) {
-            if evidence.order != order {
-                continue;
-            }
-            pooled.voices += 1;
-            pooled.taken += evidence.taken;
-            pooled.age = pooled.age.max(evidence.age);
-            for spot in &evidence.spots {
-                let sum = pooled.spots.entry(spot.appliance).or_default();
-                sum.appliance = spot.appliance;
-                sum.outcomes += spot.outcomes;
-                sum.bad += spot.bad;
-                sum.late += spot.late;
-            }
-            pooled.back += u32::from(evidence.vote == Vote::Back);
-            pooled.on += u32::from(evidence.vote == Vote::On);
-            for (route, arms) in &evidence.totals {
-                let sums = pooled.routes.entry(*route).or_default();
-                sums.iter_mut()
-                    .zip(arms)
-                    .for_each(|(sum, arm)| sum.add(arm));
-            }
+            .filter_map(|proxy| proxy.evidence.get(service));
+        let past = self
+            .past_evidence
+            .iter()
+            .filter(|evidence| &*evidence.service == service);
+        for evidence in present
+            .chain(past)
+            .filter(|evidence| evidence.rollout_id == rollout_id)
+        {
+            pooled.add(evidence);
         }
         pooled
     }
 
-    /// Forwards still under way to the old version of a service, at counters that have heard of the move, and how
-    /// many counters are there that have not told that they have heard of it.
-    pub fn leaving(&self, now: Micros, service: &str, order: u64) -> (u32, u32) {
-        let (mut under_way, mut unheard) = (0, 0);
-        for counter in self.counters.values().filter(|c| !c.away(now)) {
-            match counter.evidence.get(service).filter(|e| e.order == order) {
-                Some(e) if e.phase == Some(crate::state_machine::Phase::Moving) => {
-                    under_way += e.under_way
+    /// Returns how far proxies have drained the old version of a service that is being promoted.
+    pub fn drain_progress(&self, now: Micros, service: &str, rollout_id: u64) -> DrainProgress {
+        let mut progress = DrainProgress::default();
+        for proxy in self.proxies.values().filter(|proxy| !proxy.is_away(now)) {
+            let evidence = proxy.evidence.get(service);
+            match evidence.filter(|evidence| evidence.rollout_id == rollout_id) {
+                Some(evidence) if evidence.phase == Some(Phase::Promoting) => {
+                    progress.in_flight += evidence.draining;
                 }
-                _ => unheard += 1,
+                _ => progress.unaware += 1,
             }
         }
-        (under_way, unheard)
+        progress
     }
 }
--- a/crates/control-plane/src/state_machine.rs
+++ b/crates/control-plane/src/state_machine.rs
@@ -1,388 +1,435 @@
-//! What the sorting machines agree on: the newest configuration, and for each service which version stands and how
-//! far its rollout is; and which documents and orders have been taken before, so that each is taken once. A plain state
-//! machine: the same commands in the same order give the same state everywhere. What an operator is told is what
-//! applying the command did ([`Effect`]), never that it was agreed on.
+//! The replicated state: the newest configuration, for each service which version serves it and how far its rollout is, and
+//! which documents and orders have been accepted before, so that each is accepted once.
+//!
+//! A plain state machine: the same commands in the same order give the same state on every controller. What an operator is told
+//! is what applying the command did ([`Effect`]), never that it was committed.
 
-use crate::codec::{self, Form, Unreadable};
+use crate::codec::{self, DecodeError, Encoded};
 use crate::deduplication::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How far a rollout is.
+/// Configuration versions whose documents are remembered: hundreds of changes come in a day, and an old one may come again all
+/// day long. 43 KB at most.
+pub const MAX_REMEMBERED_CONFIGS: usize = 1024;
+/// Orders of a service that are remembered. One is sent again for a few seconds, in which hardly two can be accepted one after
+/// the other.
+pub const MAX_REMEMBERED_ORDERS: usize = 16;
+/// Versions of a service that are remembered as rejected.
+const MAX_REJECTED_VERSIONS: usize = 8;
+
+/// How far a rollout is. The order of the variants is the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
     /// The new version is on trial beside the old one.
     Trial,
-    /// Decided for: counters stop sending to the old version and finish what they have there.
-    Moving,
+    /// Decided for: proxies send nothing more to the old version, and finish what they have there.
+    Promoting,
     /// Nothing goes to the old version any more.
-    Delivered,
-    /// Decided against: the old version stands.
-    Returned,
+    Completed,
+    /// Decided against: the old version stays.
+    RolledBack,
 }
 
-/// An order to move a service to another version.
+/// A service's move to another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    pub to: String,
-    /// Within this many microseconds of the order it should be delivered.
+    /// The version to move to.
+    pub target_version: String,
+    /// Microseconds from the order within which it should be completed.
     pub within: u64,
+    /// How far it is.
     pub phase: Phase,
-    /// Place of the order in the log; tells orders for the same version apart.
-    pub order: u64,
+    /// The log index of its order; tells rollouts to the same version apart.
+    pub id: u64,
 }
 
-/// How a service stands.
+/// The state of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
-    /// The version that carries the service; none until one has been seen alone.
+pub struct ServiceState {
+    /// The version that serves it; none until one was seen alone.
     pub version: Option<String>,
-    /// The newest order.
+    /// The newest rollout.
     pub rollout: Option<Rollout>,
-    /// Versions that were returned; they get nothing until they are ordered again.
-    pub barred: Vec<String>,
+    /// Versions that were rolled back or replaced; they get nothing until they are ordered again.
+    pub rejected_versions: Vec<String>,
 }
 
 /// A configuration as it was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
-    pub number: u64,
+pub struct StoredConfig {
+    /// The version in it (`edition` in the document).
+    pub version: u64,
+    /// The document.
     pub text: Arc<str>,
 }
 
-/// An order to move a service that has been taken.
+/// A rollout order that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
-    pub to: String,
+pub struct AcceptedOrder {
+    /// The version to move to.
+    pub target_version: String,
     /// Microseconds, as ordered.
     pub within: u64,
-    /// Its place in the log.
-    pub order: u64,
-    /// The time of day at the machine that proposed it, in microseconds since 1970; 0 where it isn't known.
-    pub at: u64,
+    /// Its log index.
+    pub id: u64,
+    /// The time of day at the controller that proposed it, in microseconds since 1970; 0 where it isn't known.
+    pub accepted_at: u64,
 }
 
-/// All that is agreed on. New fields go to the end: [`Records::unpack`] tells the first release's form by where the
-/// bytes end.
+/// All of the replicated state. New fields go to the end: [`ControlState::decode`] recognizes the first release's format by
+/// where the bytes end.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Records {
-    pub edition: Option<Kept>,
-    pub services: BTreeMap<String, Standing>,
-    /// Under which numbers which documents were acknowledged, the newest [`MOST_DOCUMENTS`] numbers, whether the document
-    /// ever came into force or was overtaken before.
-    pub documents: BTreeMap<u64, Digest>,
-    /// Of numbers below this one nothing is known any more: they are acknowledged without a comparison.
+pub struct ControlState {
+    /// The configuration in force.
+    pub config: Option<StoredConfig>,
+    /// The services, by name.
+    pub services: BTreeMap<String, ServiceState>,
+    /// Which document was acknowledged under which version, whether it ever came into force or was superseded before: the
+    /// newest [`MAX_REMEMBERED_CONFIGS`] versions.
+    pub acknowledged_configs: BTreeMap<u64, Digest>,
+    /// Nothing is known of versions below this one any more: they are acknowledged without a comparison.
     pub known_from: u64,
-    /// The last [`MOST_ORDERS`] orders of each service that were taken, in the order of the log.
-    pub orders: BTreeMap<String, Vec<Taken>>,
+    /// The last [`MAX_REMEMBERED_ORDERS`] accepted orders of each service, in log order.
+    pub orders: BTreeMap<String, Vec<AcceptedOrder>>,
 }
 
-/// A change. New ones go to the end: what is stored names them by their place.
+/// A change of the state. New commands go to the end: the order of the variants is the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A configuration; without effect unless its number is the highest.
-    Replace(Kept),
-    /// An order to move a service, as the first release proposed it; only read from its logs.
-    Begin {
+    /// Replaces the configuration; without effect unless its version is the highest.
+    ReplaceConfig(StoredConfig),
+    /// Begins a rollout, as the first release proposed it; only read from its logs.
+    BeginRolloutV1 {
+        /// The service to move.
         service: String,
-        to: String,
+        /// The version to move it to.
+        target_version: String,
+        /// Microseconds that it may take.
         within: u64,
     },
-    /// A rollout gets on; without effect unless it is this order's and the step is one that may follow.
-    Advance {
+    /// Moves a rollout on; without effect unless it is this one, and the phase is one that may follow.
+    AdvanceRollout {
+        /// The service.
         service: String,
-        order: u64,
+        /// The rollout's id.
+        id: u64,
+        /// Its next phase.
         phase: Phase,
     },
-    /// A service was seen with one version alone; without effect if one is known.
-    Stands { service: String, version: String },
-    /// An order to move a service. `after` is the place of the last order of the same content that the proposer held for
-    /// another one, as its time was over; 0 if none. So two copies of one order never both begin, whoever proposes them
-    /// and whenever they are agreed on. `at` is the proposer's time of day, in microseconds since 1970.
-    Order {
+    /// Sets the version of a service that was seen with one version alone; without effect if one is known.
+    SetVersion {
+        /// The service.
+        service: String,
+        /// Its version.
+        version: String,
+    },
+    /// Begins a rollout. Two copies of one order never both begin, whoever proposes them and whenever they are committed.
+    BeginRollout {
+        /// The service to move.
         service: String,
-        to: String,
+        /// The version to move it to.
+        target_version: String,
+        /// Microseconds that it may take.
         within: u64,
-        after: u64,
-        at: u64,
+        /// The last order of the same content that the proposer took for finished, as its time was over; 0 if none.
+        finished_id: u64,
+        /// The proposer's time of day, in microseconds since 1970.
+        accepted_at: u64,
     },
 }
 
-/// What a command did.
+/// What applying a command did.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// A configuration came into force.
-    Edition,
-    /// A service stands differently now.
-    Service,
-    /// The same document, or order, was taken before: acknowledged again, nothing changed.
-    Again,
-    /// Acknowledged, and nothing had to change: a higher number is in force, or the version ordered stands.
-    Idle,
-    /// Refused: under this number another document was acknowledged.
-    OtherDocument(Digest),
-    /// Refused: this other rollout of the service is under way.
-    OtherRollout(Rollout),
-    /// Nothing: a rollout's step or a sighting that was overtaken.
-    None,
+    ConfigReplaced,
+    /// The state of a service changed.
+    ServiceChanged,
+    /// The same document or order was accepted before: acknowledged again, nothing changed.
+    Duplicate,
+    /// Acknowledged, and nothing had to change: a higher version is in force, or the service has the version ordered.
+    Unchanged,
+    /// Rejected: another document was acknowledged under this version.
+    VersionConflict(Digest),
+    /// Rejected: this other rollout of the service is under way.
+    RolloutConflict(Rollout),
+    /// Nothing: a rollout's step, or a service's version, that was overtaken.
+    Ignored,
 }
 
 impl Effect {
-    /// Whether the operator who asked for it is to be told that it was taken.
-    pub fn is_taken(&self) -> bool {
+    /// Whether the operator who asked for it is to be told that it was accepted.
+    pub fn is_accepted(&self) -> bool {
         match self {
-            Effect::Edition | Effect::Service | Effect::Again | Effect::Idle => true,
-            Effect::OtherDocument(_) | Effect::OtherRollout(_) | Effect::None => false,
+            Effect::ConfigReplaced
+            | Effect::ServiceChanged
+            | Effect::Duplicate
+            | Effect::Unchanged => true,
+            Effect::VersionConflict(_) | Effect::RolloutConflict(_) | Effect::Ignored => false,
+        }
+    }
+}
+
+impl ServiceState {
+    /// Moves the rollout on, if it is this one and the phase may follow.
+    fn advance_rollout(&mut self, id: u64, phase: Phase) -> Effect {
+        let Some(rollout) = self.rollout.as_mut().filter(|rollout| rollout.id == id) else {
+            return Effect::Ignored;
+        };
+        let may_follow = matches!(
+            (rollout.phase, phase),
+            (Phase::Trial, Phase::Promoting | Phase::RolledBack)
+                | (Phase::Promoting, Phase::Completed | Phase::RolledBack)
+        );
+        if !may_follow {
+            return Effect::Ignored;
+        }
+        rollout.phase = phase;
+        match phase {
+            Phase::Completed => {
+                let replaced = self.version.replace(rollout.target_version.clone());
+                self.rejected_versions.extend(replaced);
+            }
+            Phase::RolledBack => self.rejected_versions.push(rollout.target_version.clone()),
+            Phase::Trial | Phase::Promoting => {}
         }
+        drop_oldest(&mut self.rejected_versions, MAX_REJECTED_VERSIONS);
+        Effect::ServiceChanged
     }
 }
 
-/// Numbers whose documents are remembered: hundreds of changes come in a day, and an old one may come again all day
-/// long. 43 KB at most.
-pub const MOST_DOCUMENTS: usize = 1024;
-/// Orders of a service that are remembered. One is sent again for a few seconds, in which hardly two can be taken one
-/// after the other.
-pub const MOST_ORDERS: usize = 16;
+/// Drops elements from the front until at most `max` are left.
+fn drop_oldest<T>(list: &mut Vec<T>, max: usize) {
+    let excess = list.len().saturating_sub(max);
+    list.drain(..excess);
+}
 
-impl Records {
-    /// Carries a command out. `index` is its place in the log.
+impl ControlState {
+    /// Applies a command; `index` is its position in the log.
     pub fn apply(&mut self, index: u64, command: &Command) -> Effect {
         match command {
-            Command::Replace(kept) => self.replace(kept),
-            Command::Begin {
+            Command::ReplaceConfig(config) => self.replace_config(config),
+            Command::BeginRolloutV1 {
                 service,
-                to,
+                target_version,
                 within,
             } => {
-                // The first release took an order for another one unless it was under way.
-                self.order(
-                    service,
-                    Taken {
-                        to: to.clone(),
-                        within: *within,
-                        order: index,
-                        at: 0,
-                    },
-                    index,
-                )
+                let (target_version, within) = (target_version.clone(), *within);
+                let order = AcceptedOrder {
+                    target_version,
+                    within,
+                    id: index,
+                    accepted_at: 0,
+                };
+                // The first release took an order for a new one unless it was under way.
+                self.begin_rollout(service, order, index)
             }
-            Command::Order {
+            Command::BeginRollout {
                 service,
-                to,
+                target_version,
                 within,
-                after,
-                at,
-            } => self.order(
-                service,
-                Taken {
-                    to: to.clone(),
-                    within: *within,
-                    order: index,
-                    at: *at,
-                },
-                *after,
-            ),
-            Command::Advance {
-                service,
-                order,
-                phase,
+                finished_id,
+                accepted_at,
             } => {
-                let Some(standing) = self.services.get_mut(service) else {
-                    return Effect::None;
+                let (target_version, within) = (target_version.clone(), *within);
+                let order = AcceptedOrder {
+                    target_version,
+                    within,
+                    id: index,
+                    accepted_at: *accepted_at,
                 };
-                let Some(rollout) = standing.rollout.as_mut().filter(|r| r.order == *order) else {
-                    return Effect::None;
-                };
-                let follows = matches!(
-                    (rollout.phase, phase),
-                    (Phase::Trial, Phase::Moving | Phase::Returned)
-                        | (Phase::Moving, Phase::Delivered | Phase::Returned)
-                );
-                if !follows {
-                    return Effect::None;
-                }
-                rollout.phase = *phase;
-                match phase {
-                    Phase::Delivered => {
-                        let old = standing.version.replace(rollout.to.clone());
-                        standing.barred.extend(old);
-                    }
-                    Phase::Returned => standing.barred.push(rollout.to.clone()),
-                    Phase::Trial | Phase::Moving => {}
-                }
-                // More than a few are never met again.
-                let beyond = standing.barred.len().saturating_sub(MOST_BARRED);
-                standing.barred.drain(..beyond);
-                Effect::Service
+                self.begin_rollout(service, order, *finished_id)
             }
-            Command::Stands { service, version } => {
-                let standing = self.services.entry(service.clone()).or_default();
-                if standing.version.is_some() {
-                    return Effect::None;
+            Command::AdvanceRollout { service, id, phase } => {
+                match self.services.get_mut(service) {
+                    Some(service) => service.advance_rollout(*id, *phase),
+                    None => Effect::Ignored,
                 }
-                standing.version = Some(version.clone());
-                Effect::Service
             }
+            Command::SetVersion { service, version } => self.set_version(service, version),
         }
     }
 
-    /// What became of a document under a number, where that can't change any more.
-    pub fn settled(&self, number: u64, digest: &Digest) -> Option<Effect> {
-        match self.documents.get(&number) {
-            Some(known) if known == digest => Some(Effect::Again),
-            Some(known) => Some(Effect::OtherDocument(*known)),
-            None if number < self.known_from => Some(Effect::Idle),
+    fn set_version(&mut self, service: &str, version: &str) -> Effect {
+        let service = self.services.entry(service.to_owned()).or_default();
+        if service.version.is_some() {
+            return Effect::Ignored;
+        }
+        service.version = Some(version.to_owned());
+        Effect::ServiceChanged
+    }
+
+    /// Returns what became of a document under a version, where that can't change any more.
+    pub fn known_outcome(&self, version: u64, digest: &Digest) -> Option<Effect> {
+        match self.acknowledged_configs.get(&version) {
+            Some(known) if known == digest => Some(Effect::Duplicate),
+            Some(known) => Some(Effect::VersionConflict(*known)),
+            None if version < self.known_from => Some(Effect::Unchanged),
             None => None,
         }
     }
 
-    fn replace(&mut self, kept: &Kept) -> Effect {
-        let digest = Digest::of(&kept.text);
-        if let Some(effect) = self.settled(kept.number, &digest) {
+    fn replace_config(&mut self, config: &StoredConfig) -> Effect {
+        let digest = Digest::of(&config.text);
+        if let Some(effect) = self.known_outcome(config.version, &digest) {
             return effect;
         }
-        self.remember(kept.number, digest);
-        if self
-            .edition
-            .as_ref()
-            .is_some_and(|held| held.number > kept.number)
-        {
-            return Effect::Idle;
+        self.remember_config(config.version, digest);
+        let is_superseded = |current: &StoredConfig| current.version > config.version;
+        if self.config.as_ref().is_some_and(is_superseded) {
+            return Effect::Unchanged;
         }
-        self.edition = Some(kept.clone());
-        Effect::Edition
+        self.config = Some(config.clone());
+        Effect::ConfigReplaced
     }
 
-    fn remember(&mut self, number: u64, digest: Digest) {
-        self.documents.insert(number, digest);
-        while self.documents.len() > MOST_DOCUMENTS {
-            if let Some((lowest, _)) = self.documents.pop_first() {
+    fn remember_config(&mut self, version: u64, digest: Digest) {
+        self.acknowledged_configs.insert(version, digest);
+        while self.acknowledged_configs.len() > MAX_REMEMBERED_CONFIGS {
+            if let Some((lowest, _)) = self.acknowledged_configs.pop_first() {
                 self.known_from = self.known_from.max(lowest + 1);
             }
         }
     }
 
-    /// The last order of this content that was taken.
-    pub fn taken(&self, service: &str, to: &str, within: u64) -> Option<&Taken> {
-        self.orders
-            .get(service)?
-            .iter()
-            .rev()
-            .find(|t| t.to == to && t.within == within)
+    /// Returns the last accepted order of this content.
+    pub fn accepted_order(
+        &self,
+        service: &str,
+        target_version: &str,
+        within: u64,
+    ) -> Option<&AcceptedOrder> {
+        let mut newest_first = self.orders.get(service)?.iter().rev();
+        newest_first.find(|order| order.target_version == target_version && order.within == within)
     }
 
-    /// The rollout of the service that is under way.
-    pub fn under_way(&self, service: &str) -> Option<&Rollout> {
+    /// Returns the service's rollout that is under way.
+    pub fn active_rollout(&self, service: &str) -> Option<&Rollout> {
         let rollout = self.services.get(service)?.rollout.as_ref();
-        rollout.filter(|r| matches!(r.phase, Phase::Trial | Phase::Moving))
+        rollout.filter(|rollout| matches!(rollout.phase, Phase::Trial | Phase::Promoting))
     }
 
-    fn order(&mut self, service: &str, order: Taken, after: u64) -> Effect {
-        let before = self
-            .taken(service, &order.to, order.within)
-            .map(|t| t.order);
-        match self.under_way(service) {
+    /// Begins a rollout, unless the order is a duplicate: the last order of its content came after `finished_id`.
+    fn begin_rollout(&mut self, service: &str, order: AcceptedOrder, finished_id: u64) -> Effect {
+        let content = (&order.target_version, order.within);
+        let previous = self.accepted_order(service, &order.target_version, order.within);
+        let is_copy = previous.is_some_and(|previous| previous.id > finished_id);
+        match self.active_rollout(service) {
             // Whoever asks for what is under way has it, however long ago that was ordered.
-            Some(r) if (&r.to, r.within) == (&order.to, order.within) => return Effect::Again,
-            _ if before.is_some_and(|before| before > after) => return Effect::Again,
-            Some(other) => return Effect::OtherRollout(other.clone()),
+            Some(active) if (&active.target_version, active.within) == content => {
+                return Effect::Duplicate
+            }
+            _ if is_copy => return Effect::Duplicate,
+            Some(other) => return Effect::RolloutConflict(other.clone()),
             None => {}
         }
-        let taken = self.orders.entry(service.to_owned()).or_default();
-        taken.push(order.clone());
-        let beyond = taken.len().saturating_sub(MOST_ORDERS);
-        taken.drain(..beyond);
-        let standing = self.services.entry(service.to_owned()).or_default();
-        if standing.version.as_ref() == Some(&order.to) {
-            return Effect::Idle;
+        let accepted = self.orders.entry(service.to_owned()).or_default();
+        accepted.push(order.clone());
+        drop_oldest(accepted, MAX_REMEMBERED_ORDERS);
+        let service = self.services.entry(service.to_owned()).or_default();
+        if service.version.as_ref() == Some(&order.target_version) {
+            return Effect::Unchanged;
         }
-        standing.barred.retain(|v| *v != order.to);
-        let Taken {
-            to, within, order, ..
+        service
+            .rejected_versions
+            .retain(|version| *version != order.target_version);
+        let AcceptedOrder {
+            target_version,
+            within,
+            id,
+            ..
         } = order;
-        standing.rollout = Some(Rollout {
-            to,
+        service.rollout = Some(Rollout {
+            target_version,
             within,
             phase: Phase::Trial,
-            order,
+            id,
         });
-        Effect::Service
+        Effect::ServiceChanged
     }
 
-    /// All of it in bytes, for a snapshot.
-    pub fn pack(&self) -> Vec<u8> {
-        codec::pack(self)
+    /// Encodes the state, for a snapshot.
+    pub fn encode(&self) -> Vec<u8> {
+        codec::encode(self)
     }
 
-    /// Reads what [`Records::pack`] wrote, in this release or an earlier one.
-    pub fn unpack(bytes: &[u8]) -> Result<Records, Unreadable> {
-        match codec::open(STATE, bytes)? {
-            Form::First(value) => codec::whole::<FirstRecords>(STATE, value).map(Records::from),
-            Form::Known(value) => codec::whole(STATE, &value),
+    /// Decodes what [`ControlState::encode`] of this release or an earlier one wrote.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are no state, or of a newer release.
+    pub fn decode(bytes: &[u8]) -> Result<ControlState, DecodeError> {
+        const SUBJECT: &str = "snapshot's state";
+        match codec::read_format(SUBJECT, bytes)? {
+            Encoded::Unversioned(value) => {
+                codec::decode_exact::<ControlStateV1>(SUBJECT, value).map(ControlState::from)
+            }
+            Encoded::Current(value) => codec::decode_exact(SUBJECT, &value),
         }
     }
 }
 
-/// What can't be read, in the words of a complaint.
-const STATE: &str = "snapshot's state";
-const COMMAND: &str = "command";
-
-/// What was agreed on, as the first release wrote it.
+/// The state as the first release wrote it.
 #[derive(Deserialize)]
-struct FirstRecords {
-    edition: Option<Kept>,
-    services: BTreeMap<String, Standing>,
+struct ControlStateV1 {
+    config: Option<StoredConfig>,
+    services: BTreeMap<String, ServiceState>,
 }
 
-impl From<FirstRecords> for Records {
-    /// What the first release had acknowledged under lower numbers is not known.
-    fn from(first: FirstRecords) -> Records {
-        let mut records = Records {
-            edition: first.edition,
+impl From<ControlStateV1> for ControlState {
+    /// What the first release had acknowledged under lower versions is not known.
+    fn from(first: ControlStateV1) -> ControlState {
+        let mut state = ControlState {
+            config: first.config,
             services: first.services,
-            ..Records::default()
+            ..ControlState::default()
         };
-        if let Some(held) = &records.edition {
-            records
-                .documents
-                .insert(held.number, Digest::of(&held.text));
-            records.known_from = held.number;
+        if let Some(config) = &state.config {
+            state
+                .acknowledged_configs
+                .insert(config.version, Digest::of(&config.text));
+            state.known_from = config.version;
         }
-        for (service, standing) in &records.services {
+        for (name, service) in &state.services {
             if let Some(Rollout {
-                to, within, order, ..
-            }) = standing.rollout.clone()
+                target_version,
+                within,
+                id,
+                ..
+            }) = service.rollout.clone()
             {
-                records.orders.insert(
-                    service.clone(),
-                    vec![Taken {
-                        to,
-                        within,
-                        order,
-                        at: 0,
-                    }],
-                );
+                let order = AcceptedOrder {
+                    target_version,
+                    within,
+                    id,
+                    accepted_at: 0,
+                };
+                state.orders.insert(name.clone(), vec![order]);
             }
         }
-        records
+        state
     }
 }
 
-/// Versions of a service that are remembered as barred.
-const MOST_BARRED: usize = 8;
-
 impl Command {
-    pub fn pack(&self) -> Vec<u8> {
-        codec::pack(self)
+    /// Encodes the command, for the log.
+    pub fn encode(&self) -> Vec<u8> {
+        codec::encode(self)
     }
 
-    /// Reads what [`Command::pack`] wrote, in this release or an earlier one.
-    pub fn unpack(bytes: &[u8]) -> Result<Command, Unreadable> {
-        match codec::open(COMMAND, bytes)? {
+    /// Decodes what [`Command::encode`] of this release or an earlier one wrote.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are no command, or of a newer release.
+    pub fn decode(bytes: &[u8]) -> Result<Command, DecodeError> {
+        const SUBJECT: &str = "command";
+        match codec::read_format(SUBJECT, bytes)? {
             // The first release's commands are the first of this one's.
-            Form::First(value) => codec::whole(COMMAND, value),
-            Form::Known(value) => codec::whole(COMMAND, &value),
+            Encoded::Unversioned(value) => codec::decode_exact(SUBJECT, value),
+            Encoded::Current(value) => codec::decode_exact(SUBJECT, &value),
         }
     }
 }
--- a/crates/control-plane/tests/codec.rs
+++ b/crates/control-plane/tests/codec.rs
@@ -1,24 +1,24 @@
 //! Forms of what is stored and sent: of earlier releases, of this one, and of none.
 
-use magpieline_control_plane::codec::{self, Unreadable};
-use magpieline_control_plane::messages::{frame, unframe, Opening};
-use magpieline_control_plane::state_machine::{Command, Kept, Records};
+use magpieline_control_plane::codec::{self, DecodeError};
+use magpieline_control_plane::messages::{decode_frame, encode_frame, ConnectionPurpose};
+use magpieline_control_plane::state_machine::{Command, ControlState, StoredConfig};
 
-fn state() -> Records {
-    let mut records = Records::default();
+fn state() -> ControlState {
+    let mut records = ControlState::default();
     let texts = [(7, "{\"edition\":7}")];
     for (index, (number, text)) in (1..).zip(texts) {
         records.apply(
             index,
-            &Command::Replace(Kept {
-                number,
+            &Command::ReplaceConfig(StoredConfig {
+                version: number,
                 text: text.into(),
             }),
         );
     }
     records.apply(
         2,
-        &Command::Stands {
+        &Command::SetVersion {
             service: "calendar".into(),
             version: "v1".into(),
         },
@@ -27,7 +27,7 @@
 }
 
 fn command() -> Command {
-    Command::Stands {
+    Command::SetVersion {
         service: "calendar".into(),
         version: "v1".into(),
     }
@@ -37,11 +37,18 @@
 #[test]
 fn a_newer_form_is_refused_with_its_number() {
     let raised = |mut bytes: Vec<u8>, at: usize| {
-        bytes[at] = codec::SQUEEZED + 1;
+        bytes[at] = codec::FORMAT_COMPRESSED + 1;
         bytes
     };
-    let told = |wrong: Unreadable| (wrong.place, wrong.found, wrong.expected, wrong.newer);
-    let wrong = told(Records::unpack(&raised(state().pack(), 0)).expect_err("newer"));
+    let told = |wrong: DecodeError| {
+        (
+            wrong.subject,
+            wrong.found,
+            wrong.expected,
+            wrong.is_newer_format,
+        )
+    };
+    let wrong = told(ControlState::decode(&raised(state().encode(), 0)).expect_err("newer"));
     assert_eq!(
         wrong,
         (
@@ -51,7 +58,7 @@
             true
         )
     );
-    let wrong = told(Command::unpack(&raised(command().pack(), 0)).expect_err("newer"));
+    let wrong = told(Command::decode(&raised(command().encode(), 0)).expect_err("newer"));
     assert_eq!(
         wrong,
         (
@@ -61,7 +68,9 @@
             true
         )
     );
-    let wrong = unframe::<Opening>(&mut raised(frame(&Opening::View), 4)).expect_err("newer");
+    let wrong =
+        decode_frame::<ConnectionPurpose>(&mut raised(encode_frame(&ConnectionPurpose::View), 4))
+            .expect_err("newer");
     assert_eq!(
         told(wrong),
         ("frame", "format 18".into(), "format 16 or 17".into(), true)
@@ -71,12 +80,12 @@
 /// Guards against a frame of the first release, which had no number, that is taken for one of this.
 #[test]
 fn a_frame_without_a_number_is_refused() {
-    let mut bytes = frame(&Opening::View);
+    let mut bytes = encode_frame(&ConnectionPurpose::View);
     bytes.remove(4);
     bytes[0] -= 1;
-    let wrong = unframe::<Opening>(&mut bytes).expect_err("no number");
+    let wrong = decode_frame::<ConnectionPurpose>(&mut bytes).expect_err("no number");
     assert_eq!(
-        (wrong.found.as_str(), wrong.newer),
+        (wrong.found.as_str(), wrong.is_newer_format),
         ("no format number", false)
     );
 }
@@ -85,10 +94,11 @@
 /// another state than the others.
 #[test]
 fn what_does_not_end_where_its_bytes_do_is_refused() {
-    for bytes in [state().pack(), command().pack()] {
+    for bytes in [state().encode(), command().encode()] {
         for end in 0..bytes.len() {
             assert!(
-                Records::unpack(&bytes[..end]).is_err() && Command::unpack(&bytes[..end]).is_err()
+                ControlState::decode(&bytes[..end]).is_err()
+                    && Command::decode(&bytes[..end]).is_err()
             );
         }
     }
@@ -96,14 +106,14 @@
         bytes.push(0);
         bytes
     };
-    let wrong = Command::unpack(&more(command().pack())).expect_err("too long");
-    assert_eq!((wrong.place, wrong.newer), ("command", false));
+    let wrong = Command::decode(&more(command().encode())).expect_err("too long");
+    assert_eq!((wrong.subject, wrong.is_newer_format), ("command", false));
     assert!(wrong.found.starts_with("1 bytes after its end"), "{wrong}");
-    assert!(Records::unpack(&more(state().pack())).is_err());
-    let mut long = frame(&Opening::View);
+    assert!(ControlState::decode(&more(state().encode())).is_err());
+    let mut long = encode_frame(&ConnectionPurpose::View);
     long.push(0);
     long[0] += 1;
-    assert!(unframe::<Opening>(&mut long).is_err());
+    assert!(decode_frame::<ConnectionPurpose>(&mut long).is_err());
 }
 
 /// Guards long values: they are squeezed, cut short they are refused, and a few bytes don't become more than memory holds.
@@ -112,33 +122,33 @@
     let text: String = (0..20_000)
         .map(|i| format!("{{\"route\":\"r-{i}\"}},"))
         .collect();
-    let command = Command::Replace(Kept {
-        number: 7,
+    let command = Command::ReplaceConfig(StoredConfig {
+        version: 7,
         text: text.as_str().into(),
     });
-    let bytes = command.pack();
-    assert_eq!(bytes[0], codec::SQUEEZED);
+    let bytes = command.encode();
+    assert_eq!(bytes[0], codec::FORMAT_COMPRESSED);
     assert!(
         bytes.len() < text.len() / 4,
         "{} of {}",
         bytes.len(),
         text.len()
     );
-    assert_eq!(Command::unpack(&bytes), Ok(command));
-    assert!(Command::unpack(&bytes[..bytes.len() / 2]).is_err());
-    let bomb = codec::pack(&"z".repeat(65 << 20));
-    assert!(bomb.len() < 1 << 20 && Command::unpack(&bomb).is_err());
+    assert_eq!(Command::decode(&bytes), Ok(command));
+    assert!(Command::decode(&bytes[..bytes.len() / 2]).is_err());
+    let bomb = codec::encode(&"z".repeat(65 << 20));
+    assert!(bomb.len() < 1 << 20 && Command::decode(&bomb).is_err());
 }
 
 /// Guards the rule by which forms without a number are known: none of this release's begins like one.
 #[test]
 fn forms_are_numbered_and_read_again() {
     let (state, command) = (state(), command());
-    assert!(state.pack()[0] >= codec::LEAST && command.pack()[0] >= codec::LEAST);
+    assert!(state.encode()[0] >= codec::MIN_FORMAT && command.encode()[0] >= codec::MIN_FORMAT);
     assert_eq!(
         (
-            Records::unpack(&state.pack()),
-            Command::unpack(&command.pack())
+            ControlState::decode(&state.encode()),
+            Command::decode(&command.encode())
         ),
         (Ok(state), Ok(command))
     );
@@ -152,26 +162,26 @@
         .map(|i| char::from(b'a' + (i % 26) as u8))
         .collect();
     for text in ["", "{}", &long] {
-        let command = Command::Replace(Kept {
-            number: 3,
+        let command = Command::ReplaceConfig(StoredConfig {
+            version: 3,
             text: text.into(),
         });
         let before = postcard::to_stdvec(&command).expect("plain data can be written");
         assert_eq!(
-            Command::unpack(&before),
+            Command::decode(&before),
             Ok(command.clone()),
             "as packed before"
         );
-        assert_eq!(Command::unpack(&command.pack()), Ok(command));
+        assert_eq!(Command::decode(&command.encode()), Ok(command));
     }
     assert!(
-        Command::Replace(Kept {
-            number: 3,
+        Command::ReplaceConfig(StoredConfig {
+            version: 3,
             text: long.into()
         })
-        .pack()
+        .encode()
         .len()
             < 2000
     );
-    assert!(Command::unpack(&[codec::SQUEEZED, 1, 2]).is_err());
+    assert!(Command::decode(&[codec::FORMAT_COMPRESSED, 1, 2]).is_err());
 }
--- a/crates/control-plane/tests/config_sender.rs
+++ b/crates/control-plane/tests/config_sender.rs
@@ -1,12 +1,12 @@
-//! What a counter is told of editions, step by step.
+//! What is sent to a proxy of configurations, step by step.
 
-use magpieline_control_plane::config_receiver::{Intake, Taken};
-use magpieline_control_plane::config_sender::{Action, Event, Feeds};
-use magpieline_control_plane::messages::{unframe, Down, Fenced, Piece};
-use magpieline_control_plane::state_machine::Kept;
+use magpieline_control_plane::config_receiver::{ConfigReceiver, Received};
+use magpieline_control_plane::config_sender::{Action, ConfigSender, Event};
+use magpieline_control_plane::messages::{decode_frame, ConfigChunk, ControllerMessage, Fenced};
+use magpieline_control_plane::state_machine::StoredConfig;
 
-/// An edition of some 30 KB squeezed, so that it takes more than a window; each differs from the one before a little.
-fn edition(number: u64) -> Kept {
+/// A configuration of some 30 KB compressed, so that it takes more than a window; each differs a little from the one before.
+fn config(version: u64) -> StoredConfig {
     let mut random = 1u64;
     let line = |_| {
         random = random
@@ -15,45 +15,47 @@
         format!("{random:x}\n")
     };
     let text: String = (0..4000).map(line).collect();
-    Kept {
-        number,
-        text: format!("{number}\n{text}").into(),
+    StoredConfig {
+        version,
+        text: format!("{version}\n{text}").into(),
     }
 }
 
-/// The pieces that are sent by a step, and whether the counter counts as up to date.
-fn pieces(feeds: &mut Feeds, event: Event) -> (Vec<Piece>, bool) {
-    let (mut pieces, mut current) = (Vec::new(), false);
-    for action in feeds.step(0, event) {
+/// The chunks that are sent by a step, and whether the proxy counts as up to date.
+fn chunks(sender: &mut ConfigSender, event: Event) -> (Vec<ConfigChunk>, bool) {
+    let (mut chunks, mut current) = (Vec::new(), false);
+    for action in sender.step(0, event) {
         match action {
-            Action::Send { frame, .. } => match unframe::<Fenced<Down>>(&mut frame.to_vec()) {
-                Ok(Some(Fenced {
-                    word: Down::Piece(piece),
-                    ..
-                })) => pieces.push(piece),
-                other => panic!("{other:?}"),
-            },
-            Action::Current { .. } => current = true,
-            Action::InForce { .. } => {}
+            Action::Send { frame, .. } => {
+                match decode_frame::<Fenced<ControllerMessage>>(&mut frame.to_vec()) {
+                    Ok(Some(Fenced {
+                        message: ControllerMessage::ConfigChunk(chunk),
+                        ..
+                    })) => chunks.push(chunk),
+                    other => panic!("{other:?}"),
+                }
+            }
+            Action::UpToDate { .. } => current = true,
+            Action::Applied { .. } => {}
         }
     }
-    (pieces, current)
+    (chunks, current)
 }
 
-/// Gets all pieces of what is on its way, acknowledging each.
-fn all(feeds: &mut Feeds, mut sent: Vec<Piece>) -> Vec<Piece> {
+/// Receives all chunks in flight, acknowledging each.
+fn receive_all(sender: &mut ConfigSender, mut sent: Vec<ConfigChunk>) -> Vec<ConfigChunk> {
     let mut got = Vec::new();
     while !sent.is_empty() {
-        let piece = sent.remove(0);
-        let (number, upto) = (piece.number, piece.at + piece.bytes.len() as u32);
-        got.push(piece);
+        let chunk = sent.remove(0);
+        let (number, upto) = (chunk.version, chunk.offset + chunk.bytes.len() as u32);
+        got.push(chunk);
         sent.extend(
-            pieces(
-                feeds,
-                Event::Got {
-                    link: 1,
-                    number,
-                    upto,
+            chunks(
+                sender,
+                Event::ChunkReceived {
+                    session: 1,
+                    version: number,
+                    received: upto,
                 },
             )
             .0,
@@ -62,121 +64,158 @@
     got
 }
 
-/// Guards against editions that queue up behind each other, against wholes where a change would do, and against a counter
-/// that is welcomed before it has what was agreed on before it came.
+/// Configurations do not queue up behind each other, are sent as a difference where that is possible, and a proxy is not up to
+/// date before it has what was committed before its session.
 #[test]
-fn one_edition_is_on_its_way_and_the_next_is_told_from_what_is_held() {
-    let mut feeds = Feeds::default();
-    assert_eq!(feeds.step(0, Event::Edition(edition(3))), []);
-    let (sent, current) = pieces(&mut feeds, Event::Opened { link: 1, held: 0 });
+fn one_config_is_in_flight_and_the_next_is_sent_as_a_difference() {
+    let mut sender = ConfigSender::default();
+    assert_eq!(sender.step(0, Event::NewConfig(config(3))), []);
+    let (sent, current) = chunks(
+        &mut sender,
+        Event::Opened {
+            session: 1,
+            version: 0,
+        },
+    );
     assert!(sent.len() > 1 && sent.len() <= 3 && !current);
     for number in 4..8 {
         assert_eq!(
-            feeds.step(0, Event::Edition(edition(number))),
+            sender.step(0, Event::NewConfig(config(number))),
             [],
-            "nothing beside what is on its way"
+            "nothing beside what is in flight"
         );
     }
-    let whole = all(&mut feeds, sent);
-    assert!(whole.iter().all(|p| (p.number, p.from) == (3, 0)));
-    let (next, current) = pieces(
-        &mut feeds,
-        Event::Holds {
-            link: 1,
-            edition: 3,
+    let full = receive_all(&mut sender, sent);
+    assert!(full.iter().all(|p| (p.version, p.base_version) == (3, 0)));
+    let (next, current) = chunks(
+        &mut sender,
+        Event::ConfigApplied {
+            session: 1,
+            version: 3,
         },
     );
-    assert!(current, "it has what was newest when it came");
+    assert!(current, "it has what was newest when its session opened");
     assert_eq!(
-        next.iter().map(|p| (p.number, p.from)).collect::<Vec<_>>(),
+        next.iter()
+            .map(|p| (p.version, p.base_version))
+            .collect::<Vec<_>>(),
         [(7, 3)]
     );
     assert!(
-        next[0].length < 200,
+        next[0].total_bytes < 200,
         "{} bytes for a change of one line",
-        next[0].length
+        next[0].total_bytes
     );
-    let mut intake = Intake::default();
+    let mut receiver = ConfigReceiver::default();
     assert_eq!(
-        intake.take(Some(&edition(3)), &next[0]),
-        Taken::Whole(edition(7))
+        receiver.receive(Some(&config(3)), &next[0]),
+        Received::Complete(config(7))
     );
     assert_eq!(
-        pieces(
-            &mut feeds,
-            Event::Holds {
-                link: 1,
-                edition: 7
+        chunks(
+            &mut sender,
+            Event::ConfigApplied {
+                session: 1,
+                version: 7
             }
         ),
         (vec![], false)
     );
-    assert_eq!((feeds.flying(), feeds.behind()), (0, 0));
+    assert_eq!((sender.in_flight(), sender.outdated_proxies()), (0, 0));
 }
 
-/// Guards against a counter that is told again and again what it can't take in, or is never told the whole.
+/// A difference that does not apply is followed by the full text; a configuration that a proxy refuses is not sent again.
 #[test]
-fn what_does_not_fit_is_told_whole_and_what_is_refused_is_not_told_again() {
-    let mut feeds = Feeds::default();
-    feeds.step(0, Event::Edition(edition(3)));
-    feeds.step(0, Event::Edition(edition(4)));
-    let (sent, _) = pieces(&mut feeds, Event::Opened { link: 1, held: 3 });
-    assert_eq!((sent.len(), sent[0].from), (1, 3));
-    let (sent, _) = pieces(
-        &mut feeds,
-        Event::Holds {
-            link: 1,
-            edition: 0,
+fn a_base_mismatch_is_answered_in_full_and_a_refused_config_is_not_sent_again() {
+    let mut sender = ConfigSender::default();
+    sender.step(0, Event::NewConfig(config(3)));
+    sender.step(0, Event::NewConfig(config(4)));
+    let (sent, _) = chunks(
+        &mut sender,
+        Event::Opened {
+            session: 1,
+            version: 3,
+        },
+    );
+    assert_eq!((sent.len(), sent[0].base_version), (1, 3));
+    let (sent, _) = chunks(
+        &mut sender,
+        Event::ConfigApplied {
+            session: 1,
+            version: 0,
         },
     );
-    assert_eq!((sent[0].number, sent[0].from), (4, 0));
-    all(&mut feeds, sent);
+    assert_eq!((sent[0].version, sent[0].base_version), (4, 0));
+    receive_all(&mut sender, sent);
     assert_eq!(
-        pieces(
-            &mut feeds,
-            Event::Holds {
-                link: 1,
-                edition: 3
+        chunks(
+            &mut sender,
+            Event::ConfigApplied {
+                session: 1,
+                version: 3
             }
         ),
         (vec![], true),
-        "it stays with 3"
+        "it stays at 3"
     );
-    let (sent, _) = pieces(&mut feeds, Event::Edition(edition(5)));
-    assert_eq!((sent[0].number, sent[0].from), (5, 3));
+    let (sent, _) = chunks(&mut sender, Event::NewConfig(config(5)));
+    assert_eq!((sent[0].version, sent[0].base_version), (5, 3));
 }
 
-/// Guards against a counter that goes back, or puts together parts of different editions.
+/// A proxy neither goes back to an older configuration nor puts together chunks of different ones.
 #[test]
-fn pieces_that_do_not_follow_make_nothing() {
-    let mut feeds = Feeds::default();
-    feeds.step(0, Event::Edition(edition(3)));
-    let (sent, _) = pieces(&mut feeds, Event::Opened { link: 1, held: 0 });
-    let sent = all(&mut feeds, sent);
-    let mut intake = Intake::default();
-    assert_eq!(intake.take(Some(&edition(3)), &sent[0]), Taken::Stale);
-    assert_eq!(intake.take(Some(&edition(9)), &sent[0]), Taken::Stale);
-    assert_eq!(intake.take(None, &sent[1]), Taken::Unfit, "no beginning");
-    assert_eq!(intake.take(None, &sent[0]), Taken::More(sent[1].at));
+fn chunks_out_of_order_make_no_config() {
+    let mut sender = ConfigSender::default();
+    sender.step(0, Event::NewConfig(config(3)));
+    let (sent, _) = chunks(
+        &mut sender,
+        Event::Opened {
+            session: 1,
+            version: 0,
+        },
+    );
+    let sent = receive_all(&mut sender, sent);
+    let mut receiver = ConfigReceiver::default();
+    assert_eq!(
+        receiver.receive(Some(&config(3)), &sent[0]),
+        Received::Stale
+    );
     assert_eq!(
-        intake.take(
+        receiver.receive(Some(&config(9)), &sent[0]),
+        Received::Stale
+    );
+    assert_eq!(
+        receiver.receive(None, &sent[1]),
+        Received::BaseMismatch,
+        "no beginning"
+    );
+    assert_eq!(
+        receiver.receive(None, &sent[0]),
+        Received::Incomplete(sent[1].offset)
+    );
+    assert_eq!(
+        receiver.receive(
             None,
-            &Piece {
-                number: 4,
+            &ConfigChunk {
+                version: 4,
                 ..sent[1].clone()
             }
         ),
-        Taken::Unfit
+        Received::BaseMismatch
+    );
+    assert_eq!(
+        receiver.receive(None, &sent[1]),
+        Received::BaseMismatch,
+        "it starts over"
     );
-    assert_eq!(intake.take(None, &sent[1]), Taken::Unfit, "it begins anew");
     let last = sent.len() - 1;
-    for (i, piece) in sent.iter().enumerate() {
-        let taken = intake.take(Some(&edition(1)), piece);
+    for (i, chunk) in sent.iter().enumerate() {
+        let received = receiver.receive(Some(&config(1)), chunk);
         let expected = if i == last {
-            Taken::Whole(edition(3))
+            Received::Complete(config(3))
         } else {
-            Taken::More(sent[i + 1].at)
+            Received::Incomplete(sent[i + 1].offset)
         };
-        assert_eq!(taken, expected);
+        assert_eq!(received, expected);
     }
 }
