--- a/crates/control-plane/tests/controller_client.rs
+++ b/crates/control-plane/tests/controller_client.rs
@@ -1,197 +1,213 @@
-//! A counter's hold on the leader.
+//! A proxy's session with the leader: how it finds it, whom it trusts, and for how long.
 
-use magpieline_control_plane::controller_client::{Action, Event, Tendril};
-use magpieline_control_plane::messages::{Down, Fenced};
+use magpieline_control_plane::controller_client::{Action, ControllerClient, Event};
+use magpieline_control_plane::messages::{ControllerMessage, Fenced};
 use std::net::SocketAddrV4;
 
-/// A link that is not up after this is given up.
-const UP_WITHIN: u64 = 250_000;
+/// A connection that is not up after this is given up.
+const CONNECT_TIMEOUT: u64 = 250_000;
 
 fn at(n: u8) -> SocketAddrV4 {
     SocketAddrV4::new([10, 0, 0, n].into(), 7720)
 }
 
-fn elsewhere(term: u64, leader: Option<SocketAddrV4>, core: &[SocketAddrV4]) -> Fenced<Down> {
+fn redirect(
+    term: u64,
+    leader: Option<SocketAddrV4>,
+    controllers: &[SocketAddrV4],
+) -> Fenced<ControllerMessage> {
     Fenced {
         term,
-        word: Down::Elsewhere {
+        message: ControllerMessage::Redirect {
             leader,
-            core: core.to_vec(),
+            controllers: controllers.to_vec(),
         },
     }
 }
 
-fn welcome(term: u64, asked: u64) -> Fenced<Down> {
+fn welcome(term: u64, confirmed_at: u64) -> Fenced<ControllerMessage> {
     Fenced {
         term,
-        word: Down::Welcome {
-            core: vec![at(1), at(2), at(3)],
-            counters: 9,
-            asked,
+        message: ControllerMessage::Welcome {
+            controllers: vec![at(1), at(2), at(3)],
+            proxies: 9,
+            confirmed_at,
         },
     }
 }
 
-fn beat(term: u64, asked: u64) -> Fenced<Down> {
+fn heartbeat(term: u64, confirmed_at: u64) -> Fenced<ControllerMessage> {
     Fenced {
         term,
-        word: Down::Beat {
-            counters: 9,
-            asked,
-            edition: 0,
+        message: ControllerMessage::Heartbeat {
+            proxies: 9,
+            confirmed_at,
+            config_version: 0,
         },
     }
 }
 
-/// Held by the first machine in `term` from `now` on.
-fn held(now: u64, term: u64) -> Tendril {
-    let mut t = Tendril::new(now, vec![at(1), at(2), at(3)], 2);
-    assert_eq!(t.step(now, Event::Tick), [Action::Dial(at(1))]);
-    assert_eq!(t.step(now, Event::Opened), [Action::Hello]);
+/// A client that follows the first controller in `term` from `now` on.
+fn following(now: u64, term: u64) -> ControllerClient {
+    let mut client = ControllerClient::new(now, vec![at(1), at(2), at(3)], 2);
+    assert_eq!(client.step(now, Event::Tick), [Action::Connect(at(1))]);
+    assert_eq!(client.step(now, Event::Connected), [Action::SendHello]);
     assert_eq!(
-        t.step(now, Event::Heard(&welcome(term, now))),
-        [Action::Take, Action::Report]
+        client.step(now, Event::Received(&welcome(term, now))),
+        [Action::Accept, Action::SendReport]
     );
-    t
+    client
 }
 
-/// Guards against a counter that holds on to a dead seed, or that does not find a leader who is no seed.
+/// A client leaves a dead seed, and finds a leader that is no seed.
 #[test]
-fn it_goes_from_dead_seeds_to_the_leader_that_a_live_one_names() {
-    let mut t = Tendril::new(0, vec![at(1), at(2)], 1);
-    assert_eq!(t.step(0, Event::Tick), [Action::Dial(at(1))]);
-    // The first says nothing: it is given up in time, the second asked.
+fn a_client_is_redirected_from_a_live_seed_to_the_leader() {
+    let mut client = ControllerClient::new(0, vec![at(1), at(2)], 1);
+    assert_eq!(client.step(0, Event::Tick), [Action::Connect(at(1))]);
+    // The first one is silent: it is given up in time, and the second one asked.
     assert_eq!(
-        t.step(UP_WITHIN, Event::Tick),
-        [Action::HangUp, Action::Dial(at(2))]
+        client.step(CONNECT_TIMEOUT, Event::Tick),
+        [Action::Disconnect, Action::Connect(at(2))]
     );
-    assert_eq!(t.step(UP_WITHIN + 1, Event::Opened), [Action::Hello]);
-    let down = elsewhere(1, Some(at(5)), &[at(2), at(5)]);
     assert_eq!(
-        t.step(UP_WITHIN + 2, Event::Heard(&down)),
-        [Action::HangUp, Action::Dial(at(5))]
+        client.step(CONNECT_TIMEOUT + 1, Event::Connected),
+        [Action::SendHello]
     );
-    t.step(UP_WITHIN + 3, Event::Opened);
+    let message = redirect(1, Some(at(5)), &[at(2), at(5)]);
     assert_eq!(
-        t.step(UP_WITHIN + 4, Event::Heard(&welcome(1, UP_WITHIN + 3))),
-        [Action::Take, Action::Report]
+        client.step(CONNECT_TIMEOUT + 2, Event::Received(&message)),
+        [Action::Disconnect, Action::Connect(at(5))]
     );
-    assert!(t.holds(UP_WITHIN + 5) && t.counters() == 9);
+    client.step(CONNECT_TIMEOUT + 3, Event::Connected);
+    assert_eq!(
+        client.step(
+            CONNECT_TIMEOUT + 4,
+            Event::Received(&welcome(1, CONNECT_TIMEOUT + 3))
+        ),
+        [Action::Accept, Action::SendReport]
+    );
+    assert!(client.is_following(CONNECT_TIMEOUT + 5) && client.proxies() == 9);
 }
 
-/// Guards against a counter that goes on asking seeds that are said to be gone.
+/// Seeds that are replaced are not asked any more.
 #[test]
-fn other_seeds_take_the_place_of_those_before() {
-    let mut t = Tendril::new(0, vec![at(1)], 0);
-    assert_eq!(t.step(0, Event::Tick), [Action::Dial(at(1))]);
-    t.reseed(vec![at(2)]);
+fn new_seeds_replace_the_old_ones() {
+    let mut client = ControllerClient::new(0, vec![at(1)], 0);
+    assert_eq!(client.step(0, Event::Tick), [Action::Connect(at(1))]);
+    client.set_seeds(vec![at(2)]);
     assert_eq!(
-        t.step(UP_WITHIN, Event::Tick),
-        [Action::HangUp, Action::Dial(at(2))]
+        client.step(CONNECT_TIMEOUT, Event::Tick),
+        [Action::Disconnect, Action::Connect(at(2))]
     );
 }
 
-/// Guards against a counter that goes on as if in touch behind a cut that nothing reports.
+/// Behind a partition that nothing reports, a client does not go on as if in contact.
 #[test]
-fn a_silent_leader_is_let_go_of_and_the_others_are_asked() {
-    let mut t = Tendril::new(0, vec![at(1), at(2), at(3)], 0);
-    t.step(0, Event::Tick);
-    t.step(1, Event::Opened);
-    t.step(2, Event::Heard(&welcome(1, 1)));
+fn a_silent_leader_is_left_and_the_others_are_asked() {
+    let mut client = ControllerClient::new(0, vec![at(1), at(2), at(3)], 0);
+    client.step(0, Event::Tick);
+    client.step(1, Event::Connected);
+    client.step(2, Event::Received(&welcome(1, 1)));
     let mut asked = Vec::new();
     let mut now = 2;
     while now < 4_000_000 {
-        now = t.next().max(now + 1);
+        now = client.next_wake().max(now + 1);
         asked.extend(
-            t.step(now, Event::Tick)
+            client
+                .step(now, Event::Tick)
                 .into_iter()
-                .filter(|a| matches!(a, Action::Dial(_))),
+                .filter(|a| matches!(a, Action::Connect(_))),
         );
     }
-    assert!(!t.holds(now) && t.adrift(now) > 2_500_000);
+    assert!(!client.is_following(now) && client.time_without_leader(now) > 2_500_000);
     for n in 1..=3 {
         assert!(
-            asked.contains(&Action::Dial(at(n))),
+            asked.contains(&Action::Connect(at(n))),
             "{n} was never asked: {asked:?}"
         );
     }
 }
 
-/// Guards against words of a leader of the past, on its own link or on a new one, that a counter takes into force after a
-/// newer leader has spoken to it.
+/// After a newer leader has spoken, messages of an older one are accepted neither on its own connection nor on a new one.
 #[test]
-fn a_word_of_a_lower_term_is_refused_and_its_link_ends() {
-    let mut t = held(0, 4);
-    assert_eq!(t.step(1, Event::Heard(&beat(3, 0))), [Action::HangUp]);
-    let now = t.next();
-    assert_eq!(t.step(now, Event::Tick), [Action::Dial(at(2))]);
-    t.step(now, Event::Opened);
+fn a_message_of_a_lower_term_is_rejected_and_its_connection_closed() {
+    let mut client = following(0, 4);
+    assert_eq!(
+        client.step(1, Event::Received(&heartbeat(3, 0))),
+        [Action::Disconnect]
+    );
+    let now = client.next_wake();
+    assert_eq!(client.step(now, Event::Tick), [Action::Connect(at(2))]);
+    client.step(now, Event::Connected);
     assert_eq!(
-        t.step(now, Event::Heard(&welcome(3, now))),
-        [Action::HangUp]
+        client.step(now, Event::Received(&welcome(3, now))),
+        [Action::Disconnect]
     );
-    assert_eq!((t.term(), t.holds(now)), (4, false));
-    let now = t.next();
-    assert_eq!(t.step(now, Event::Tick), [Action::Dial(at(3))]);
-    t.step(now, Event::Opened);
+    assert_eq!((client.term(), client.is_following(now)), (4, false));
+    let now = client.next_wake();
+    assert_eq!(client.step(now, Event::Tick), [Action::Connect(at(3))]);
+    client.step(now, Event::Connected);
     assert_eq!(
-        t.step(now, Event::Heard(&welcome(5, now))),
-        [Action::Take, Action::Report]
+        client.step(now, Event::Received(&welcome(5, now))),
+        [Action::Accept, Action::SendReport]
     );
-    assert_eq!((t.term(), t.holds(now)), (5, true));
+    assert_eq!((client.term(), client.is_following(now)), (5, true));
 }
 
-/// Guards against a link on which words of two leaderships are mixed.
+/// Messages of two leaderships are not mixed on one connection.
 #[test]
-fn a_link_says_things_of_one_term_only() {
-    let mut t = held(0, 4);
-    assert_eq!(t.step(1, Event::Heard(&beat(5, 0))), [Action::HangUp]);
-    assert_eq!(t.term(), 4);
+fn a_connection_belongs_to_one_term() {
+    let mut client = following(0, 4);
+    assert_eq!(
+        client.step(1, Event::Received(&heartbeat(5, 0))),
+        [Action::Disconnect]
+    );
+    assert_eq!(client.term(), 4);
 }
 
-/// Guards against a machine that stood for election in vain, and whose term would shut a counter off from the leader; and
-/// against one that is behind and sends counters to a leader of the past.
+/// A controller that stood for election in vain must not cut a proxy off from the leader by its term, and one that is behind
+/// must not redirect it to a leader of the past.
 #[test]
-fn who_does_not_lead_moves_no_term_and_who_is_behind_points_nowhere() {
-    let mut t = Tendril::new(0, vec![at(1), at(2), at(3)], 2);
-    t.step(0, Event::Tick);
-    t.step(0, Event::Opened);
-    t.step(0, Event::Heard(&elsewhere(9, Some(at(2)), &[])));
-    t.step(0, Event::Opened);
+fn a_redirect_moves_no_term_and_an_outdated_one_is_ignored() {
+    let mut client = ControllerClient::new(0, vec![at(1), at(2), at(3)], 2);
+    client.step(0, Event::Tick);
+    client.step(0, Event::Connected);
+    client.step(0, Event::Received(&redirect(9, Some(at(2)), &[])));
+    client.step(0, Event::Connected);
     assert_eq!(
-        t.step(0, Event::Heard(&welcome(4, 0))),
-        [Action::Take, Action::Report]
+        client.step(0, Event::Received(&welcome(4, 0))),
+        [Action::Accept, Action::SendReport]
     );
-    t.step(1, Event::Closed);
-    t.step(1, Event::Opened);
+    client.step(1, Event::Disconnected);
+    client.step(1, Event::Connected);
     assert_eq!(
-        t.step(1, Event::Heard(&elsewhere(3, Some(at(7)), &[at(7)]))),
-        [Action::HangUp]
+        client.step(1, Event::Received(&redirect(3, Some(at(7)), &[at(7)]))),
+        [Action::Disconnect]
     );
-    assert!(!t.core().contains(&at(7)) && t.next() > 1);
+    assert!(!client.controllers().contains(&at(7)) && client.next_wake() > 1);
 }
 
-/// Guards against beats that were said long ago and waited on their way: they name an old report, and count from there.
+/// Heartbeats that were delayed on their way name an old report, and count from there.
 #[test]
-fn what_a_leader_says_is_as_old_as_the_report_it_names() {
-    let mut t = held(0, 4);
-    assert!(t.holds(900_000));
+fn a_heartbeat_is_as_old_as_the_report_that_it_names() {
+    let mut client = following(0, 4);
+    assert!(client.is_following(900_000));
     let mut now = 0;
-    // They come all the time, and all name the hello.
+    // Heartbeats arrive all the time, and all name the hello.
     while now < 1_900_000 {
         now += 300_000;
-        t.step(now, Event::Heard(&beat(4, 0)));
+        client.step(now, Event::Received(&heartbeat(4, 0)));
     }
-    assert!(!t.holds(2_000_000) && t.confirmed_at() == Some(0));
-    t.step(2_000_001, Event::Heard(&beat(4, 1_500_000)));
-    assert!(t.holds(2_000_002));
-    // A link on which only old words come is let go of.
-    let mut hung_up = false;
-    while !hung_up && now < 10_000_000 {
+    assert!(!client.is_following(2_000_000) && client.confirmed_at() == Some(0));
+    client.step(2_000_001, Event::Received(&heartbeat(4, 1_500_000)));
+    assert!(client.is_following(2_000_002));
+    // A connection on which only old messages arrive is closed.
+    let mut is_closed = false;
+    while !is_closed && now < 10_000_000 {
         now += 300_000;
-        hung_up = t
-            .step(now, Event::Heard(&beat(4, 1_500_000)))
-            .contains(&Action::HangUp);
+        is_closed = client
+            .step(now, Event::Received(&heartbeat(4, 1_500_000)))
+            .contains(&Action::Disconnect);
     }
-    assert!(hung_up && now < 7_000_000, "{now}");
+    assert!(is_closed && now < 7_000_000, "{now}");
 }
--- a/crates/control-plane/tests/deduplication.rs
+++ b/crates/control-plane/tests/deduplication.rs
@@ -1,7 +1,9 @@
-//! Whether an order is the same one again, as leaders see it whose clocks differ and who start anew.
+//! Whether an order is the same one again, for leaders whose clocks differ and that restart.
 
-use magpieline_control_plane::deduplication::{Digest, Witness, CLOCKS, TRAVEL};
-use magpieline_control_plane::state_machine::{Command, Effect, Phase, Records};
+use magpieline_control_plane::deduplication::{
+    AcceptanceClock, Arrival, Digest, OrderContent, MAX_CLOCK_SKEW, MAX_DELIVERY_DELAY,
+};
+use magpieline_control_plane::state_machine::{Command, ControlState, Effect, Phase};
 use magpieline_control_plane::Micros;
 use rstest::rstest;
 
@@ -10,87 +12,105 @@
 /// Some time of day.
 const DAY: Micros = 1_790_000_000 * SECOND;
 
-/// A leader that got an order at 100 s on its steady clock, has it under way no longer, and saw it all.
-fn returned() -> (Records, Witness) {
-    let (mut records, mut witness) = (
-        Records::default(),
-        Witness::new(90 * SECOND, DAY - 10 * SECOND),
+/// A leader that received an order at 100 s on its monotonic clock, and saw it rolled back.
+fn rolled_back() -> (ControlState, AcceptanceClock) {
+    let (mut state, mut clock) = (
+        ControlState::default(),
+        AcceptanceClock::new(90 * SECOND, DAY - 10 * SECOND),
     );
-    let command = look(&records, &witness, 100 * SECOND, DAY).expect("a new order");
-    assert_eq!(records.apply(1, &command), Effect::Service);
-    witness.applied(100 * SECOND, &records);
-    records.apply(
+    let command = propose(&state, &clock, 100 * SECOND, DAY).expect("a new order");
+    assert_eq!(state.apply(1, &command), Effect::ServiceChanged);
+    clock.on_state_change(100 * SECOND, &state);
+    state.apply(
         2,
-        &Command::Advance {
+        &Command::AdvanceRollout {
             service: "s".into(),
-            order: 1,
-            phase: Phase::Returned,
+            id: 1,
+            phase: Phase::RolledBack,
         },
     );
-    (records, witness)
+    (state, clock)
 }
 
-fn look(records: &Records, witness: &Witness, now: Micros, day: Micros) -> Option<Command> {
-    witness.look(records, (now, day), ("s", "v2", 12 * SECOND), RECEIPT)
+fn propose(
+    state: &ControlState,
+    clock: &AcceptanceClock,
+    now: Micros,
+    day: Micros,
+) -> Option<Command> {
+    let arrival = Arrival {
+        at: now,
+        time_of_day: day,
+    };
+    let order = OrderContent {
+        service: "s",
+        target_version: "v2",
+        within: 12 * SECOND,
+    };
+    clock.propose(state, arrival, order, RECEIPT)
 }
 
-/// Guards against a copy held for a new order within `receipt` and the way of the last copy, and a new one held for a copy
-/// after that, whatever the time of day does meanwhile.
+/// Within `receipt` and the delivery delay of the last copy an order is a copy, after that a new one, whatever the time of day
+/// does meanwhile.
 #[rstest]
-fn by_the_steady_clock_of_who_saw_it(#[values(-3600, -1, 0, 1, 3600)] step: i64) {
-    let (records, witness) = returned();
+fn a_leader_that_saw_the_order_goes_by_its_monotonic_clock(
+    #[values(-3600, -1, 0, 1, 3600)] step: i64,
+) {
+    let (state, clock) = rolled_back();
     let later = |span: Micros| {
         let day = DAY
             .saturating_add(span)
             .saturating_add_signed(step * SECOND as i64);
-        look(&records, &witness, 100 * SECOND + span, day)
+        propose(&state, &clock, 100 * SECOND + span, day)
     };
-    for span in [0, SECOND, RECEIPT, RECEIPT + TRAVEL] {
+    for span in [0, SECOND, RECEIPT, RECEIPT + MAX_DELIVERY_DELAY] {
         assert_eq!(later(span), None, "a copy {span} us later");
     }
-    let Some(Command::Order { after: 1, .. }) = later(RECEIPT + TRAVEL + 1) else {
-        panic!("a new order, after the one at place 1");
+    let Some(Command::BeginRollout { finished_id: 1, .. }) =
+        later(RECEIPT + MAX_DELIVERY_DELAY + 1)
+    else {
+        panic!("a new order, after the one at index 1");
     };
 }
 
-/// Guards against a leader that started after the order and, by a steady clock that began anew, either begins it again or
-/// refuses a new one for long. `off` is how much its time of day is ahead of the proposer's.
+/// A leader that started after the order goes by the time of day: it neither begins the order again nor refuses a new one for
+/// long. `off` is by how much its time of day is ahead of the proposer's.
 #[rstest]
-fn by_the_time_of_day_after_a_restart(#[values(-1, 0, 1)] off: i64) {
-    let (records, _) = returned();
-    // Three seconds after the order, on a machine whose steady clock begins at 1000 s.
-    let day = (DAY + 3 * SECOND).saturating_add_signed(off * CLOCKS as i64);
-    let mut witness = Witness::new(1000 * SECOND, day);
-    witness.applied(1000 * SECOND, &records);
-    let at = |span: Micros| look(&records, &witness, 1000 * SECOND + span - 3 * SECOND, day);
+fn a_restarted_leader_goes_by_the_time_of_day(#[values(-1, 0, 1)] off: i64) {
+    let (state, _) = rolled_back();
+    // Three seconds after the order, on a machine whose monotonic clock begins at 1000 s.
+    let day = (DAY + 3 * SECOND).saturating_add_signed(off * MAX_CLOCK_SKEW as i64);
+    let mut clock = AcceptanceClock::new(1000 * SECOND, day);
+    clock.on_state_change(1000 * SECOND, &state);
+    let at = |span: Micros| propose(&state, &clock, 1000 * SECOND + span - 3 * SECOND, day);
     assert_eq!(at(RECEIPT), None, "a copy");
-    assert_eq!(at(RECEIPT + TRAVEL), None, "a late copy");
-    let late = RECEIPT + TRAVEL + 2 * CLOCKS + 1;
+    assert_eq!(at(RECEIPT + MAX_DELIVERY_DELAY), None, "a late copy");
+    let late = RECEIPT + MAX_DELIVERY_DELAY + 2 * MAX_CLOCK_SKEW + 1;
     assert!(at(late).is_some(), "a new order");
-    // One that was taken long ago is new at once.
-    let mut witness = Witness::new(1000 * SECOND, day + 60 * SECOND);
-    witness.applied(1000 * SECOND, &records);
-    assert!(look(&records, &witness, 1000 * SECOND, day + 60 * SECOND).is_some());
+    // One that was accepted long ago is new at once.
+    let mut clock = AcceptanceClock::new(1000 * SECOND, day + 60 * SECOND);
+    clock.on_state_change(1000 * SECOND, &state);
+    assert!(propose(&state, &clock, 1000 * SECOND, day + 60 * SECOND).is_some());
 }
 
-/// Guards against a time of day that has jumped back or an order without one: it counts as taken when it was seen.
+/// An order without a time of day counts as accepted when it was seen.
 #[test]
-fn without_a_time_of_day_from_when_it_was_seen() {
-    let (mut records, _) = returned();
-    records.orders.get_mut("s").expect("taken")[0].at = 0;
-    let mut witness = Witness::new(1000 * SECOND, DAY + 3600 * SECOND);
-    witness.applied(1000 * SECOND, &records);
-    assert_eq!(look(&records, &witness, 1000 * SECOND + RECEIPT, DAY), None);
-    assert!(look(
-        &records,
-        &witness,
-        1000 * SECOND + RECEIPT + TRAVEL + 1,
+fn an_order_without_a_time_of_day_counts_from_when_it_was_seen() {
+    let (mut state, _) = rolled_back();
+    state.orders.get_mut("s").expect("accepted")[0].accepted_at = 0;
+    let mut clock = AcceptanceClock::new(1000 * SECOND, DAY + 3600 * SECOND);
+    clock.on_state_change(1000 * SECOND, &state);
+    assert_eq!(propose(&state, &clock, 1000 * SECOND + RECEIPT, DAY), None);
+    assert!(propose(
+        &state,
+        &clock,
+        1000 * SECOND + RECEIPT + MAX_DELIVERY_DELAY + 1,
         DAY
     )
     .is_some());
 }
 
-/// Guards against digests that operators can't compare with their own.
+/// Operators can compare digests with their own.
 #[test]
 fn a_digest_is_what_sha256sum_shows() {
     let shown = Digest::of("abc").to_string();
--- a/crates/control-plane/tests/delta.rs
+++ b/crates/control-plane/tests/delta.rs
@@ -1,7 +1,7 @@
 //! Editions as what has changed.
 
 use magpieline_control_plane::delta::{apply, diff};
-use magpieline_control_plane::messages::LONGEST;
+use magpieline_control_plane::messages::MAX_FRAME_BYTES;
 use rand::{Rng, SeedableRng};
 
 fn routes(chance: &mut rand_chacha::ChaCha8Rng, count: usize) -> Vec<String> {
@@ -33,7 +33,7 @@
         let new = list.join(",");
         let told = diff(&old, &new);
         assert_eq!(
-            apply(&old, &told, LONGEST).as_deref(),
+            apply(&old, &told, MAX_FRAME_BYTES).as_deref(),
             Some(&*new),
             "round {round}"
         );
@@ -44,13 +44,19 @@
             new.len()
         );
         assert_eq!(
-            apply("", &diff("", &new), LONGEST).as_deref(),
+            apply("", &diff("", &new), MAX_FRAME_BYTES).as_deref(),
             Some(&*new),
             "round {round}"
         );
     }
-    assert_eq!(apply("", &diff("", "abc"), LONGEST).as_deref(), Some("abc"));
-    assert_eq!(apply("abc", &diff("abc", ""), LONGEST).as_deref(), Some(""));
+    assert_eq!(
+        apply("", &diff("", "abc"), MAX_FRAME_BYTES).as_deref(),
+        Some("abc")
+    );
+    assert_eq!(
+        apply("abc", &diff("abc", ""), MAX_FRAME_BYTES).as_deref(),
+        Some("")
+    );
 }
 
 /// Guards against changes for another text that are taken for this one's, against what was cut short, and against a few
@@ -67,17 +73,21 @@
         &routes(&mut chance, 60).join(","),
         &old[..old.len() - 1],
     ] {
-        assert_eq!(apply(other, &told, LONGEST), None);
+        assert_eq!(apply(other, &told, MAX_FRAME_BYTES), None);
     }
     // As long as the right one, and other in what is taken from it.
     assert_eq!(
-        apply(&old.replacen("safe", "sage", 30), &told, LONGEST),
+        apply(&old.replacen("safe", "sage", 30), &told, MAX_FRAME_BYTES),
         None
     );
     // What differs only where nothing is taken from makes the new text all the same, or nothing.
-    assert!(apply(&old[1..], &told, LONGEST).is_none_or(|made| made == new));
+    assert!(apply(&old[1..], &told, MAX_FRAME_BYTES).is_none_or(|made| made == new));
     for cut in 0..told.len() {
-        assert_eq!(apply(&old, &told[..cut], LONGEST), None, "cut to {cut}");
+        assert_eq!(
+            apply(&old, &told[..cut], MAX_FRAME_BYTES),
+            None,
+            "cut to {cut}"
+        );
     }
     assert_eq!(apply("", &diff("", &"z".repeat(1 << 20)), 1 << 16), None);
 }
--- a/crates/control-plane/tests/messages.rs
+++ b/crates/control-plane/tests/messages.rs
@@ -1,36 +1,38 @@
 //! Messages as frames.
 
-use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Report, Up};
+use magpieline_control_plane::messages::{
+    decode_frame, encode_frame, ControllerMessage, Fenced, ProxyMessage, Report,
+};
 
-/// Guards against frames that are taken apart wrongly where they arrive in pieces or are not ours.
+/// Frames that arrive in parts wait until they are complete, and foreign bytes are refused.
 #[test]
-fn frames_are_whole_or_wait_or_are_refused() {
+fn frames_are_complete_or_wait_or_are_refused() {
     let (first, second) = (
-        Up::Report(Report {
-            edition: 3,
+        ProxyMessage::Report(Report {
+            config_version: 3,
             ..Report::default()
         }),
         Fenced {
             term: 4,
-            word: Down::Beat {
-                counters: 9,
-                asked: 5,
-                edition: 0,
+            message: ControllerMessage::Heartbeat {
+                proxies: 9,
+                confirmed_at: 5,
+                config_version: 0,
             },
         },
     );
-    let mut bytes = frame(&first);
-    bytes.extend(frame(&second));
+    let mut bytes = encode_frame(&first);
+    bytes.extend(encode_frame(&second));
     let (mut came, mut read) = (Vec::new(), Vec::new());
     for byte in bytes {
         came.push(byte);
         if read.is_empty() {
-            read.extend(unframe::<Up>(&mut came).expect("ours"));
+            read.extend(decode_frame::<ProxyMessage>(&mut came).expect("ours"));
         }
     }
     assert_eq!(
-        (read, unframe::<Fenced<Down>>(&mut came)),
+        (read, decode_frame::<Fenced<ControllerMessage>>(&mut came)),
         (vec![first], Ok(Some(second)))
     );
-    assert!(unframe::<Up>(&mut b"GET / HTTP/1.1".to_vec()).is_err());
+    assert!(decode_frame::<ProxyMessage>(&mut b"GET / HTTP/1.1".to_vec()).is_err());
 }
--- a/crates/control-plane/tests/narrow_links.rs
+++ b/crates/control-plane/tests/narrow_links.rs
@@ -4,10 +4,14 @@
 //! hear signs of life in time, and what is on its way and what is kept is bounded. `NARROW_SEEDS` plays more days.
 
 use bytes::Bytes;
-use magpieline_control_plane::config_receiver::{Intake, Taken};
-use magpieline_control_plane::config_sender::{Action, Event, Feeds, WINDOW, WINDOW_OF_ALL};
-use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Piece};
-use magpieline_control_plane::state_machine::Kept;
+use magpieline_control_plane::config_receiver::{ConfigReceiver, Received};
+use magpieline_control_plane::config_sender::{
+    Action, ConfigSender, Event, TOTAL_WINDOW_BYTES, WINDOW_BYTES,
+};
+use magpieline_control_plane::messages::{
+    decode_frame, encode_frame, ConfigChunk, ControllerMessage, Fenced,
+};
+use magpieline_control_plane::state_machine::StoredConfig;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashMap};
@@ -29,7 +33,7 @@
 /// How editions are sent: as they are, or as they were: each to all counters at once, in one frame.
 #[derive(Clone, Copy, PartialEq)]
 enum Way {
-    Feeds,
+    Paced,
     Fifo,
 }
 
@@ -42,7 +46,7 @@
     /// A follower hears a beat that was sent then.
     Followed(u64),
     Arrives(usize, u64, Bytes),
-    Holds(usize, u64, Kept),
+    Holds(usize, u64, StoredConfig),
     /// The leader hears, on a link: an acknowledgement, or what is held.
     Got(u64, u64, u32),
     Held(u64, u64),
@@ -57,8 +61,8 @@
 struct Counter {
     /// Differs from link to link; as the leader names the link.
     link: u64,
-    intake: Intake,
-    held: Option<Kept>,
+    receiver: ConfigReceiver,
+    held: Option<StoredConfig>,
     heard_at: u64,
     /// Nothing had happened to it since.
     calm_since: u64,
@@ -72,8 +76,8 @@
     next: BTreeMap<(u64, u64), Then>,
     serial: u64,
     chance: ChaCha8Rng,
-    feeds: Feeds,
-    editions: Vec<Kept>,
+    sender: ConfigSender,
+    editions: Vec<StoredConfig>,
     agreed: usize,
     links: HashMap<u64, usize>,
     counters: Vec<Counter>,
@@ -83,7 +87,7 @@
     broken: Vec<String>,
 }
 
-fn editions(chance: &mut ChaCha8Rng) -> Vec<Kept> {
+fn editions(chance: &mut ChaCha8Rng) -> Vec<StoredConfig> {
     let mut routes: Vec<String> = Vec::new();
     let grow = |chance: &mut ChaCha8Rng, routes: &mut Vec<String>, by| {
         routes.extend((0..by).map(|_| {
@@ -115,16 +119,16 @@
                 "{{\"edition\":{number},\"regulations\":[{}]}}",
                 routes.join(",")
             );
-            Kept {
-                number,
+            StoredConfig {
+                version: number,
                 text: text.into(),
             }
         })
         .collect()
 }
 
-fn said(word: Down) -> Bytes {
-    frame(&Fenced { term: 1, word }).into()
+fn said(message: ControllerMessage) -> Bytes {
+    encode_frame(&Fenced { term: 1, message }).into()
 }
 
 impl Day {
@@ -142,7 +146,7 @@
             now: 0,
             next: BTreeMap::new(),
             serial: 0,
-            feeds: Feeds::default(),
+            sender: ConfigSender::default(),
             editions,
             agreed: 0,
             links: HashMap::new(),
@@ -200,15 +204,15 @@
                 break;
             }
             self.happens(then);
-            if self.feeds.flying() > WINDOW_OF_ALL + WINDOW {
+            if self.sender.in_flight() > TOTAL_WINDOW_BYTES + WINDOW_BYTES {
                 self.broken.push(format!(
                     "{} bytes of editions on their way",
-                    self.feeds.flying()
+                    self.sender.in_flight()
                 ));
             }
-            if self.feeds.kept_bytes() > 5 << 20 {
+            if self.sender.memory_bytes() > 5 << 20 {
                 self.broken
-                    .push(format!("{} bytes are kept", self.feeds.kept_bytes()));
+                    .push(format!("{} bytes are kept", self.sender.memory_bytes()));
             }
         }
         self.broken
@@ -235,8 +239,12 @@
     }
 
     fn feed(&mut self, event: Event) {
-        for action in self.feeds.step(self.now, event) {
-            if let Action::Send { link, frame } = action {
+        for action in self.sender.step(self.now, event) {
+            if let Action::Send {
+                session: link,
+                frame,
+            } = action
+            {
                 let length = frame.len();
                 self.say(link, frame, length);
             }
@@ -244,15 +252,15 @@
     }
 
     /// As editions were sent before: what has changed took twice the bytes that it takes now, a whole one its length.
-    fn fifo(&mut self, link: u64, from: Option<&Kept>, edition: &Kept) {
+    fn fifo(&mut self, link: u64, from: Option<&StoredConfig>, edition: &StoredConfig) {
         let told =
             from.map(|f| 2 * magpieline_control_plane::delta::diff(&f.text, &edition.text).len());
-        let number = edition.number;
-        let down = said(Down::Piece(Piece {
-            number,
-            from: 0,
-            length: 0,
-            at: 0,
+        let number = edition.version;
+        let down = said(ControllerMessage::ConfigChunk(ConfigChunk {
+            version: number,
+            base_version: 0,
+            total_bytes: 0,
+            offset: 0,
             bytes: Vec::new(),
         }));
         self.say(link, down, told.unwrap_or(edition.text.len()));
@@ -263,9 +271,9 @@
             Then::Edition(i) => {
                 self.agreed = i + 1;
                 let kept = self.editions[i].clone();
-                self.at(self.now + IN_FORCE_WITHIN, Then::Due(kept.number));
-                if self.way == Way::Feeds {
-                    return self.feed(Event::Edition(kept));
+                self.at(self.now + IN_FORCE_WITHIN, Then::Due(kept.version));
+                if self.way == Way::Paced {
+                    return self.feed(Event::NewConfig(kept));
                 }
                 let links: Vec<u64> = self.links.keys().copied().collect();
                 let before = i.checked_sub(1).map(|i| self.editions[i].clone());
@@ -277,17 +285,17 @@
                 for (i, counter) in self.counters.iter().enumerate() {
                     let bound =
                         self.now >= counter.calm_since.max(counter.cut_until) + IN_TOUCH_AFTER;
-                    if bound && counter.held.as_ref().is_none_or(|k| k.number < number) {
+                    if bound && counter.held.as_ref().is_none_or(|k| k.version < number) {
                         self.broken
                             .push(format!("edition {number} is not in force at counter {i}"));
                     }
                 }
             }
             Then::Beat => {
-                let beat = said(Down::Beat {
-                    counters: 88,
-                    asked: self.now,
-                    edition: 1,
+                let beat = said(ControllerMessage::Heartbeat {
+                    proxies: 88,
+                    confirmed_at: self.now,
+                    config_version: 1,
                 });
                 let links: Vec<u64> = self.links.keys().copied().collect();
                 links
@@ -320,11 +328,11 @@
             }
             Then::Leads => {
                 // The others have applied the same log; what the old leader had on its way is gone.
-                let (mut feeds, known) = (Feeds::default(), &self.editions[..self.agreed]);
+                let (mut sender, known) = (ConfigSender::default(), &self.editions[..self.agreed]);
                 for kept in known {
-                    feeds.step(self.now, Event::Edition(kept.clone()));
+                    sender.step(self.now, Event::NewConfig(kept.clone()));
                 }
-                (self.feeds, self.up_free_at) = (feeds, self.now);
+                (self.sender, self.up_free_at) = (sender, self.now);
                 let links: Vec<(u64, usize)> = self.links.drain().collect();
                 links
                     .into_iter()
@@ -337,15 +345,19 @@
             Then::Opens(counter) => {
                 self.serial += 1;
                 let (link, this) = (self.serial, &mut self.counters[counter]);
-                (this.link, this.heard_at, this.intake) = (link, self.now, Intake::default());
-                let held = this.held.as_ref().map_or(0, |k| k.number);
+                (this.link, this.heard_at, this.receiver) =
+                    (link, self.now, ConfigReceiver::default());
+                let held = this.held.as_ref().map_or(0, |k| k.version);
                 self.links.insert(link, counter);
                 self.waiting[counter] = 0;
                 match self.way {
-                    Way::Feeds => self.feed(Event::Opened { link, held }),
+                    Way::Paced => self.feed(Event::Opened {
+                        session: link,
+                        version: held,
+                    }),
                     Way::Fifo => {
                         let newest = self.agreed.checked_sub(1).map(|i| self.editions[i].clone());
-                        let newest = newest.filter(|n| n.number > held);
+                        let newest = newest.filter(|n| n.version > held);
                         newest.into_iter().for_each(|n| self.fifo(link, None, &n));
                     }
                 }
@@ -367,7 +379,7 @@
             {
                 // A reset comes back.
                 self.links.remove(&link);
-                self.feed(Event::Closed { link });
+                self.feed(Event::Closed { session: link });
             }
             Then::Arrives(to, link, frame) if self.counters[to].cut_until > self.now => {
                 let until = self.counters[to].cut_until;
@@ -375,19 +387,23 @@
             }
             Then::Arrives(to, link, frame) => {
                 self.waiting[to] = self.waiting[to].saturating_sub(frame.len());
-                if self.way == Way::Feeds && self.waiting[to] > WINDOW + 4096 {
+                if self.way == Way::Paced && self.waiting[to] > WINDOW_BYTES + 4096 {
                     self.broken
                         .push(format!("{} bytes wait for counter {to}", self.waiting[to]));
                 }
-                let down = unframe::<Fenced<Down>>(&mut frame.to_vec())
+                let down = decode_frame::<Fenced<ControllerMessage>>(&mut frame.to_vec())
                     .expect("ours")
                     .expect("whole");
-                self.hears(to, link, down.word);
+                self.hears(to, link, down.message);
             }
             Then::Holds(counter, link, kept) if self.counters[counter].link == link => {
-                let (number, this) = (kept.number, &mut self.counters[counter]);
-                if this.held.as_ref().is_some_and(|held| held.number >= number) {
-                    return if self.way == Way::Feeds {
+                let (number, this) = (kept.version, &mut self.counters[counter]);
+                if this
+                    .held
+                    .as_ref()
+                    .is_some_and(|held| held.version >= number)
+                {
+                    return if self.way == Way::Paced {
                         self.broken.push(format!("{counter} goes back"))
                     };
                 }
@@ -399,29 +415,38 @@
                 self.at(self.now + 1000, Then::Held(link, number));
             }
             Then::Holds(..) => {}
-            Then::Got(link, number, upto) => self.feed(Event::Got { link, number, upto }),
-            Then::Held(link, edition) => self.feed(Event::Holds { link, edition }),
+            Then::Got(link, number, upto) => self.feed(Event::ChunkReceived {
+                session: link,
+                version: number,
+                received: upto,
+            }),
+            Then::Held(link, edition) => self.feed(Event::ConfigApplied {
+                session: link,
+                version: edition,
+            }),
         }
     }
 
-    fn hears(&mut self, counter: usize, link: u64, down: Down) {
+    fn hears(&mut self, counter: usize, link: u64, down: ControllerMessage) {
         let this = &mut self.counters[counter];
         this.heard_at = self.now;
         let kept = match down {
-            Down::Piece(piece) if self.way == Way::Fifo => {
-                self.editions[piece.number as usize - 1].clone()
+            ControllerMessage::ConfigChunk(piece) if self.way == Way::Fifo => {
+                self.editions[piece.version as usize - 1].clone()
             }
-            Down::Piece(piece) => match this.intake.take(this.held.as_ref(), &piece) {
-                Taken::More(upto) => {
-                    return self.at(self.now + 1000, Then::Got(link, piece.number, upto))
-                }
-                Taken::Whole(kept) => kept,
-                Taken::Stale => {
-                    let held = this.held.as_ref().map_or(0, |k| k.number);
-                    return self.at(self.now + 1000, Then::Held(link, held));
+            ControllerMessage::ConfigChunk(piece) => {
+                match this.receiver.receive(this.held.as_ref(), &piece) {
+                    Received::Incomplete(upto) => {
+                        return self.at(self.now + 1000, Then::Got(link, piece.version, upto))
+                    }
+                    Received::Complete(kept) => kept,
+                    Received::Stale => {
+                        let held = this.held.as_ref().map_or(0, |k| k.version);
+                        return self.at(self.now + 1000, Then::Held(link, held));
+                    }
+                    Received::BaseMismatch => return self.at(self.now + 1000, Then::Held(link, 0)),
                 }
-                Taken::Unfit => return self.at(self.now + 1000, Then::Held(link, 0)),
-            },
+            }
             _ => return,
         };
         let read = kept.text.len() as u64 / 1024 * READ_KB;
@@ -434,7 +459,7 @@
         let hears = self.counters[counter].cut_until <= self.now && self.chance.gen_bool(0.7);
         if link != 0 && hears {
             self.links.remove(&link);
-            self.feed(Event::Closed { link });
+            self.feed(Event::Closed { session: link });
         }
         self.counters[counter].link = 0;
         let after = self.chance.gen_range(10_000..300_000);
@@ -450,7 +475,7 @@
         .and_then(|s| s.parse().ok())
         .unwrap_or(6);
     for seed in 0..seeds {
-        assert_eq!(Day::new(seed, Way::Feeds).play(), None, "seed {seed}");
+        assert_eq!(Day::new(seed, Way::Paced).play(), None, "seed {seed}");
     }
 }
 
--- a/crates/control-plane/tests/proxy_registry.rs
+++ b/crates/control-plane/tests/proxy_registry.rs
@@ -1,7 +1,7 @@
-//! The leader's view of the counters.
+//! The leader's view of the proxies.
 
-use magpieline_control_plane::messages::{Evidence, Hello, Report, Totals, Vote};
-use magpieline_control_plane::proxy_registry::{Pooled, Roster};
+use magpieline_control_plane::messages::{ArmTotals, Hello, Report, TrialEvidence, Vote};
+use magpieline_control_plane::proxy_registry::{DrainProgress, PooledEvidence, ProxyRegistry};
 use magpieline_control_plane::state_machine::Phase;
 
 const TERM: u64 = 3;
@@ -15,95 +15,117 @@
     }
 }
 
-fn report(evidence: Vec<Evidence>) -> Report {
+fn report(evidence: Vec<TrialEvidence>) -> Report {
     Report {
         evidence,
         ..Report::default()
     }
 }
 
-fn told(order: u64, bad: u32, vote: Vote) -> Vec<Evidence> {
-    let trial = Totals {
+fn evidence(order: u64, bad: u32, vote: Vote) -> Vec<TrialEvidence> {
+    let trial = ArmTotals {
         bad,
         outcomes: 10,
-        ..Totals::default()
+        ..ArmTotals::default()
     };
-    vec![Evidence {
+    vec![TrialEvidence {
         service: "s".into(),
-        order,
+        rollout_id: order,
         vote,
-        totals: vec![(1, [Totals::default(), trial])],
-        taken: 100,
-        ..Evidence::default()
+        totals: vec![(1, [ArmTotals::default(), trial])],
+        requests: 100,
+        ..TrialEvidence::default()
     }]
 }
 
-/// Guards against evidence that counts twice when it is told twice, or is lost when its counter restarts.
+/// Evidence does not count twice when it is reported twice, and is not lost when its proxy restarts.
 #[test]
-fn totals_replace_each_other_and_outlast_their_counter() {
-    let mut roster = Roster::default();
-    roster.leads_in(Some(TERM));
-    assert!(roster.hello(0, 1, TERM, &hello("a", 11)));
-    assert!(roster.hello(0, 2, TERM, &hello("b", 12)));
+fn totals_replace_each_other_and_outlive_their_proxy() {
+    let mut registry = ProxyRegistry::default();
+    registry.set_leadership(Some(TERM));
+    assert!(registry.register(0, 1, TERM, &hello("a", 11)));
+    assert!(registry.register(0, 2, TERM, &hello("b", 12)));
     for _ in 0..3 {
-        assert!(roster.report(1, 1, report(told(5, 4, Vote::Back))));
+        assert!(registry.on_report(1, 1, report(evidence(5, 4, Vote::RollBack))));
     }
-    assert!(roster.report(1, 2, report(told(5, 1, Vote::None))));
-    assert!(roster.report(2, 2, report(told(5, 2, Vote::None))));
-    let pooled = roster.pooled("s", 5);
+    assert!(registry.on_report(1, 2, report(evidence(5, 1, Vote::None))));
+    assert!(registry.on_report(2, 2, report(evidence(5, 2, Vote::None))));
+    let pooled = registry.pooled_evidence("s", 5);
     assert_eq!(
-        (pooled.routes[&1][1].bad, pooled.taken, pooled.back),
+        (
+            pooled.routes[&1][1].bad,
+            pooled.requests,
+            pooled.rollback_votes
+        ),
         (6, 200, 1)
     );
-    roster.closed(1);
-    assert!(roster.hello(3, 3, TERM, &hello("a", 99))); // another life of the first
-    assert!(roster.report(3, 3, report(told(5, 1, Vote::None))));
-    assert_eq!(roster.pooled("s", 5).routes[&1][1].bad, 7);
-    assert_eq!(roster.pooled("s", 4), Pooled::default());
+    registry.on_closed(1);
+    assert!(registry.register(3, 3, TERM, &hello("a", 99))); // another incarnation of the first
+    assert!(registry.on_report(3, 3, report(evidence(5, 1, Vote::None))));
+    assert_eq!(registry.pooled_evidence("s", 5).routes[&1][1].bad, 7);
+    assert_eq!(registry.pooled_evidence("s", 4), PooledEvidence::default());
 }
 
-/// Guards against a rollout called delivered while a counter has not stopped.
+/// A rollout is not completed while a proxy has not stopped sending to the old version.
 #[test]
-fn who_has_not_heard_of_a_move_is_waited_for_while_there() {
-    let mut roster = Roster::default();
-    roster.leads_in(Some(TERM));
-    assert!(roster.hello(0, 1, TERM, &hello("a", 11)));
-    assert!(roster.hello(0, 2, TERM, &hello("b", 12)));
-    let moving = |under_way| {
-        let phase = Some(Phase::Moving);
-        vec![Evidence {
+fn a_proxy_that_is_unaware_of_a_promotion_is_waited_for() {
+    let mut registry = ProxyRegistry::default();
+    registry.set_leadership(Some(TERM));
+    assert!(registry.register(0, 1, TERM, &hello("a", 11)));
+    assert!(registry.register(0, 2, TERM, &hello("b", 12)));
+    let promoting = |draining| {
+        let phase = Some(Phase::Promoting);
+        vec![TrialEvidence {
             service: "s".into(),
-            order: 5,
-            under_way,
+            rollout_id: 5,
+            draining,
             phase,
-            ..Evidence::default()
+            ..TrialEvidence::default()
         }]
     };
-    assert!(roster.report(1, 1, report(moving(2))));
-    assert_eq!(roster.leaving(1, "s", 5), (2, 1));
-    assert!(roster.report(2, 2, report(moving(0))));
-    assert_eq!(roster.leaving(2, "s", 5), (2, 0));
-    roster.closed(1);
-    assert_eq!(roster.leaving(3, "s", 5), (0, 0));
-    assert_eq!(roster.count(3), 2);
+    assert!(registry.on_report(1, 1, report(promoting(2))));
+    assert_eq!(
+        registry.drain_progress(1, "s", 5),
+        DrainProgress {
+            in_flight: 2,
+            unaware: 1
+        }
+    );
+    assert!(registry.on_report(2, 2, report(promoting(0))));
+    assert_eq!(
+        registry.drain_progress(2, "s", 5),
+        DrainProgress {
+            in_flight: 2,
+            unaware: 0
+        }
+    );
+    registry.on_closed(1);
+    assert_eq!(
+        registry.drain_progress(3, "s", 5),
+        DrainProgress {
+            in_flight: 0,
+            unaware: 0
+        }
+    );
+    assert_eq!(registry.count(3), 2);
 }
 
-/// Guards against a counter that is taken up on the word of a leadership that is over, here or as the counter knows, and
-/// against a leader that goes on telling one that has heard a newer leader.
+/// A proxy is not registered by a leadership that is over, here or as the proxy knows, and the session of a proxy that has heard
+/// a newer leader ends.
 #[test]
-fn a_link_belongs_to_one_leadership() {
-    let mut roster = Roster::default();
+fn a_session_belongs_to_one_leadership() {
+    let mut registry = ProxyRegistry::default();
     assert!(
-        !roster.hello(0, 1, TERM, &hello("a", 1)),
+        !registry.register(0, 1, TERM, &hello("a", 1)),
         "it does not lead"
     );
-    assert!(roster.leads_in(Some(TERM)) && !roster.leads_in(Some(TERM)));
+    assert!(registry.set_leadership(Some(TERM)) && !registry.set_leadership(Some(TERM)));
     assert!(
-        !roster.hello(0, 1, TERM - 1, &hello("a", 1)),
+        !registry.register(0, 1, TERM - 1, &hello("a", 1)),
         "confirmed in a term that is over"
     );
     assert!(
-        !roster.hello(
+        !registry.register(
             0,
             1,
             TERM,
@@ -114,27 +136,27 @@
         ),
         "it has heard a newer leader"
     );
-    assert!(roster.hello(
+    assert!(registry.register(
         0,
         1,
         TERM,
         &Hello {
             term: TERM,
-            at: 7,
+            sent_at: 7,
             ..hello("a", 1)
         }
     ));
-    assert_eq!(roster.asked().collect::<Vec<_>>(), [(1, 7)]);
-    assert!(roster.report(
+    assert_eq!(registry.report_times().collect::<Vec<_>>(), [(1, 7)]);
+    assert!(registry.on_report(
         1,
         1,
         Report {
-            at: 9,
+            sent_at: 9,
             ..report(Vec::new())
         }
     ));
-    assert_eq!(roster.asked().collect::<Vec<_>>(), [(1, 9)]);
-    assert!(!roster.report(
+    assert_eq!(registry.report_times().collect::<Vec<_>>(), [(1, 9)]);
+    assert!(!registry.on_report(
         2,
         1,
         Report {
@@ -142,11 +164,11 @@
             ..report(Vec::new())
         }
     ));
-    assert_eq!(roster.asked().count(), 0);
-    roster.hello(3, 2, TERM, &hello("a", 1));
-    assert!(roster.leads_in(None) && roster.all().count() == 0);
+    assert_eq!(registry.report_times().count(), 0);
+    registry.register(3, 2, TERM, &hello("a", 1));
+    assert!(registry.set_leadership(None) && registry.iter().count() == 0);
     assert!(
-        !roster.report(4, 2, report(Vec::new())),
+        !registry.on_report(4, 2, report(Vec::new())),
         "of a leadership that is over"
     );
 }
--- a/crates/control-plane/tests/state_machine.rs
+++ b/crates/control-plane/tests/state_machine.rs
@@ -3,55 +3,56 @@
 
 use magpieline_control_plane::deduplication::Digest;
 use magpieline_control_plane::state_machine::{
-    Command, Effect, Kept, Phase, Records, Rollout, MOST_DOCUMENTS, MOST_ORDERS,
+    Command, ControlState, Effect, Phase, Rollout, StoredConfig, MAX_REMEMBERED_CONFIGS,
+    MAX_REMEMBERED_ORDERS,
 };
 use rstest::rstest;
 
 fn replace(number: u64, text: &str) -> Command {
-    Command::Replace(Kept {
-        number,
+    Command::ReplaceConfig(StoredConfig {
+        version: number,
         text: text.into(),
     })
 }
 
 fn order(to: &str, after: u64) -> Command {
-    Command::Order {
+    Command::BeginRollout {
         service: "s".into(),
-        to: to.into(),
+        target_version: to.into(),
         within: 12_000_000,
-        after,
-        at: 1,
+        finished_id: after,
+        accepted_at: 1,
     }
 }
 
 fn advance(order: u64, phase: Phase) -> Command {
-    Command::Advance {
+    Command::AdvanceRollout {
         service: "s".into(),
-        order,
+        id: order,
         phase,
     }
 }
 
 fn other(text: &str) -> Effect {
-    Effect::OtherDocument(Digest::of(text))
+    Effect::VersionConflict(Digest::of(text))
 }
 
-/// Applies them from place 1 on.
-fn applied(commands: &[Command]) -> (Records, Vec<Effect>) {
-    let mut records = Records::default();
+/// Applies them from index 1 on.
+fn applied(commands: &[Command]) -> (ControlState, Vec<Effect>) {
+    let mut state = ControlState::default();
     let effects = commands
         .iter()
         .zip(1..)
-        .map(|(command, index)| records.apply(index, command))
+        .map(|(command, index)| state.apply(index, command))
         .collect();
-    (records, effects)
+    (state, effects)
 }
 
 /// Guards against an older configuration, late or sent again, that takes the place of a newer one, and against two
 /// documents that are both taken under one number.
 #[test]
 fn the_highest_edition_holds_whatever_the_order() {
-    let (records, effects) = applied(&[
+    let (state, effects) = applied(&[
         replace(7, "a"),
         replace(5, "b"),
         replace(7, "c"),
@@ -61,28 +62,28 @@
     assert_eq!(
         effects,
         [
-            Effect::Edition,
-            Effect::Idle,
+            Effect::ConfigReplaced,
+            Effect::Unchanged,
             other("a"),
-            Effect::Edition,
-            Effect::Again
+            Effect::ConfigReplaced,
+            Effect::Duplicate
         ]
     );
-    assert_eq!(records.edition.as_ref().map(|k| &*k.text), Some("d"));
-    assert_eq!(Records::unpack(&records.pack()), Ok(records));
+    assert_eq!(state.config.as_ref().map(|k| &*k.text), Some("d"));
+    assert_eq!(ControlState::decode(&state.encode()), Ok(state));
 }
 
 /// Guards against two documents confirmed under a lower number: one that was in force, and one that was overtaken before
 /// it came.
 #[test]
 fn a_lower_number_keeps_the_document_that_was_acknowledged_first() {
-    let (mut records, _) = applied(&[replace(7, "a"), replace(9, "d"), replace(8, "late")]);
-    assert_eq!(records.apply(4, &replace(7, "b")), other("a"));
-    assert_eq!(records.apply(5, &replace(8, "later")), other("late"));
-    assert_eq!(records.apply(6, &replace(8, "late")), Effect::Again);
-    let mut records = Records::unpack(&records.pack()).expect("readable");
+    let (mut state, _) = applied(&[replace(7, "a"), replace(9, "d"), replace(8, "late")]);
+    assert_eq!(state.apply(4, &replace(7, "b")), other("a"));
+    assert_eq!(state.apply(5, &replace(8, "later")), other("late"));
+    assert_eq!(state.apply(6, &replace(8, "late")), Effect::Duplicate);
+    let mut state = ControlState::decode(&state.encode()).expect("readable");
     assert_eq!(
-        records.apply(7, &replace(8, "later")),
+        state.apply(7, &replace(8, "later")),
         other("late"),
         "after a snapshot as before"
     );
@@ -101,239 +102,248 @@
 /// Guards against a number that can't be taken at all, acknowledged and gone.
 #[test]
 fn number_zero_is_a_number() {
-    let (records, effects) = applied(&[replace(0, "a"), replace(0, "b")]);
-    assert_eq!(effects, [Effect::Edition, other("a")]);
-    assert_eq!(records.edition.map(|k| k.number), Some(0));
+    let (state, effects) = applied(&[replace(0, "a"), replace(0, "b")]);
+    assert_eq!(effects, [Effect::ConfigReplaced, other("a")]);
+    assert_eq!(state.config.map(|k| k.version), Some(0));
 }
 
 /// Guards against a state that grows with every change, and against a refusal of what may have been taken.
 #[test]
 fn the_oldest_documents_are_forgotten_and_then_never_refused() {
-    let last = MOST_DOCUMENTS as u64 + 10;
+    let last = MAX_REMEMBERED_CONFIGS as u64 + 10;
     let commands: Vec<Command> = (1..=last).map(|n| replace(2 * n, "x")).collect();
-    let (mut records, _) = applied(&commands);
-    assert_eq!(records.documents.len(), MOST_DOCUMENTS);
+    let (mut state, _) = applied(&commands);
+    assert_eq!(state.acknowledged_configs.len(), MAX_REMEMBERED_CONFIGS);
     assert!(
-        records.pack().len() < 64 << 10,
+        state.encode().len() < 64 << 10,
         "{} bytes",
-        records.pack().len()
+        state.encode().len()
     );
     for known in [2 * last, 2 * 11] {
         assert_eq!(
-            records.apply(9_000, &replace(known, "y")),
+            state.apply(9_000, &replace(known, "y")),
             other("x"),
             "number {known}"
         );
     }
     for lost in [1, 2, 2 * 10] {
         assert_eq!(
-            records.apply(9_001, &replace(lost, "x")),
-            Effect::Idle,
+            state.apply(9_001, &replace(lost, "x")),
+            Effect::Unchanged,
             "number {lost}"
         );
     }
     assert_eq!(
-        records.documents.len(),
-        MOST_DOCUMENTS,
+        state.acknowledged_configs.len(),
+        MAX_REMEMBERED_CONFIGS,
         "what is below is not taken up again"
     );
     // A number between, never used, is taken up and the lowest one goes.
     assert_eq!(
-        records.apply(9_002, &replace(2 * last - 1, "z")),
-        Effect::Idle
+        state.apply(9_002, &replace(2 * last - 1, "z")),
+        Effect::Unchanged
     );
-    assert_eq!(
-        records.apply(9_003, &replace(2 * last - 1, "y")),
-        other("z")
-    );
-    assert_eq!(records.documents.len(), MOST_DOCUMENTS);
+    assert_eq!(state.apply(9_003, &replace(2 * last - 1, "y")), other("z"));
+    assert_eq!(state.acknowledged_configs.len(), MAX_REMEMBERED_CONFIGS);
 }
 
 /// Guards against a late word of an old leader that decides a newer order, and against steps back.
 #[test]
 fn a_rollout_takes_only_steps_that_may_follow_and_only_its_own() {
-    let mut records = Records::default();
-    records.apply(
+    let mut state = ControlState::default();
+    state.apply(
         1,
-        &Command::Stands {
+        &Command::SetVersion {
             service: "s".into(),
             version: "v1".into(),
         },
     );
-    records.apply(2, &order("v2", 0));
+    state.apply(2, &order("v2", 0));
     assert_eq!(
-        records.apply(3, &order("v2", 0)),
-        Effect::Again,
+        state.apply(3, &order("v2", 0)),
+        Effect::Duplicate,
         "the same order again"
     );
     assert_eq!(
-        records.apply(4, &advance(2, Phase::Delivered)),
-        Effect::None,
+        state.apply(4, &advance(2, Phase::Completed)),
+        Effect::Ignored,
         "no move before"
     );
-    records.apply(5, &advance(2, Phase::Returned));
+    state.apply(5, &advance(2, Phase::RolledBack));
     assert_eq!(
-        records.apply(6, &advance(2, Phase::Moving)),
-        Effect::None,
+        state.apply(6, &advance(2, Phase::Promoting)),
+        Effect::Ignored,
         "decided"
     );
-    records.apply(7, &order("v3", 0));
+    state.apply(7, &order("v3", 0));
     assert_eq!(
-        records.apply(8, &advance(2, Phase::Moving)),
-        Effect::None,
+        state.apply(8, &advance(2, Phase::Promoting)),
+        Effect::Ignored,
         "another order"
     );
-    records.apply(9, &advance(7, Phase::Moving));
-    records.apply(10, &advance(7, Phase::Delivered));
-    let standing = &records.services["s"];
+    state.apply(9, &advance(7, Phase::Promoting));
+    state.apply(10, &advance(7, Phase::Completed));
+    let standing = &state.services["s"];
     assert_eq!(standing.version.as_deref(), Some("v3"));
-    assert_eq!(standing.barred, ["v2", "v1"]);
+    assert_eq!(standing.rejected_versions, ["v2", "v1"]);
 }
 
 /// Guards against an order that begins anew when it is sent again after it was returned (exposure twice), or after it was
 /// delivered and followed by another (a way back that nobody asked for).
 #[rstest]
-#[case(Phase::Returned)]
-#[case(Phase::Delivered)]
+#[case(Phase::RolledBack)]
+#[case(Phase::Completed)]
 fn an_order_sent_again_is_the_same_whatever_became_of_it(#[case] became: Phase) {
-    let mut records = Records::default();
-    records.apply(
+    let mut state = ControlState::default();
+    state.apply(
         1,
-        &Command::Stands {
+        &Command::SetVersion {
             service: "s".into(),
             version: "v1".into(),
         },
     );
-    records.apply(2, &order("v2", 0));
-    records.apply(3, &advance(2, Phase::Moving));
-    records.apply(4, &advance(2, became));
-    let before = records.clone();
-    assert_eq!(records.apply(5, &order("v2", 0)), Effect::Again);
-    assert_eq!(records, before, "nothing changed");
-    assert_eq!(records.apply(6, &order("v3", 0)), Effect::Service);
+    state.apply(2, &order("v2", 0));
+    state.apply(3, &advance(2, Phase::Promoting));
+    state.apply(4, &advance(2, became));
+    let before = state.clone();
+    assert_eq!(state.apply(5, &order("v2", 0)), Effect::Duplicate);
+    assert_eq!(state, before, "nothing changed");
+    assert_eq!(state.apply(6, &order("v3", 0)), Effect::ServiceChanged);
     assert_eq!(
-        records.apply(7, &order("v2", 0)),
-        Effect::Again,
+        state.apply(7, &order("v2", 0)),
+        Effect::Duplicate,
         "while another is under way, too"
     );
-    records.apply(8, &advance(6, Phase::Moving));
-    records.apply(9, &advance(6, Phase::Delivered));
-    let mut records = Records::unpack(&records.pack()).expect("readable");
-    let before = records.clone();
+    state.apply(8, &advance(6, Phase::Promoting));
+    state.apply(9, &advance(6, Phase::Completed));
+    let mut state = ControlState::decode(&state.encode()).expect("readable");
+    let before = state.clone();
     assert_eq!(
-        records.apply(10, &order("v2", 0)),
-        Effect::Again,
+        state.apply(10, &order("v2", 0)),
+        Effect::Duplicate,
         "and after a snapshot"
     );
-    assert_eq!(records, before);
+    assert_eq!(state, before);
 }
 
 /// Guards against a new order for a returned version that is taken for a copy of the old one; and against two copies of
 /// that new one that both begin, proposed by leaders who both held the old one for over.
 #[test]
 fn an_order_whose_time_is_over_can_be_given_again_and_begins_once() {
-    let (mut records, effects) =
-        applied(&[order("v2", 0), advance(1, Phase::Returned), order("v2", 1)]);
-    assert_eq!(effects, [Effect::Service, Effect::Service, Effect::Service]);
+    let (mut state, effects) = applied(&[
+        order("v2", 0),
+        advance(1, Phase::RolledBack),
+        order("v2", 1),
+    ]);
     assert_eq!(
-        records.services["s"].rollout.as_ref().map(|r| r.order),
-        Some(3)
+        effects,
+        [
+            Effect::ServiceChanged,
+            Effect::ServiceChanged,
+            Effect::ServiceChanged
+        ]
     );
-    records.apply(4, &advance(3, Phase::Returned));
-    assert_eq!(records.apply(5, &order("v2", 1)), Effect::Again);
-    assert_eq!(records.apply(6, &order("v2", 3)), Effect::Service);
+    assert_eq!(state.services["s"].rollout.as_ref().map(|r| r.id), Some(3));
+    state.apply(4, &advance(3, Phase::RolledBack));
+    assert_eq!(state.apply(5, &order("v2", 1)), Effect::Duplicate);
+    assert_eq!(state.apply(6, &order("v2", 3)), Effect::ServiceChanged);
 }
 
 /// Guards against a second rollout that takes the place of one under way, and a refusal of what was taken.
 #[test]
 fn another_order_is_refused_while_one_is_under_way() {
-    let (mut records, _) = applied(&[order("v2", 0)]);
+    let (mut state, _) = applied(&[order("v2", 0)]);
     let under_way = Rollout {
-        to: "v2".into(),
+        target_version: "v2".into(),
         within: 12_000_000,
         phase: Phase::Trial,
-        order: 1,
+        id: 1,
     };
     assert_eq!(
-        records.apply(2, &order("v3", 0)),
-        Effect::OtherRollout(under_way.clone())
+        state.apply(2, &order("v3", 0)),
+        Effect::RolloutConflict(under_way.clone())
     );
-    let sooner = Command::Order {
+    let sooner = Command::BeginRollout {
         service: "s".into(),
-        to: "v2".into(),
+        target_version: "v2".into(),
         within: 1,
-        after: 0,
-        at: 1,
+        finished_id: 0,
+        accepted_at: 1,
     };
     assert_eq!(
-        records.apply(3, &sooner),
-        Effect::OtherRollout(under_way),
+        state.apply(3, &sooner),
+        Effect::RolloutConflict(under_way),
         "another term is another order"
     );
     assert_eq!(
-        records.apply(4, &order("v2", 1)),
-        Effect::Again,
+        state.apply(4, &order("v2", 1)),
+        Effect::Duplicate,
         "however long ago it was ordered"
     );
     // What was refused was not taken: it begins when it comes again and nothing is in its way.
-    records.apply(5, &advance(1, Phase::Returned));
-    assert_eq!(records.apply(6, &order("v3", 0)), Effect::Service);
+    state.apply(5, &advance(1, Phase::RolledBack));
+    assert_eq!(state.apply(6, &order("v3", 0)), Effect::ServiceChanged);
 }
 
 /// Guards against an order for the version that stands, acknowledged with nothing to do, that is refused when it comes
 /// again or later sends the service back.
 #[test]
 fn an_order_for_the_version_that_stands_is_taken_too() {
-    let mut records = Records::default();
-    records.apply(
+    let mut state = ControlState::default();
+    state.apply(
         1,
-        &Command::Stands {
+        &Command::SetVersion {
             service: "s".into(),
             version: "v1".into(),
         },
     );
-    assert_eq!(records.apply(2, &order("v1", 0)), Effect::Idle);
-    records.apply(3, &order("v2", 0));
-    assert_eq!(records.apply(4, &order("v1", 0)), Effect::Again);
-    records.apply(5, &advance(3, Phase::Moving));
-    records.apply(6, &advance(3, Phase::Delivered));
-    assert_eq!(records.apply(7, &order("v1", 0)), Effect::Again);
-    assert_eq!(records.services["s"].version.as_deref(), Some("v2"));
+    assert_eq!(state.apply(2, &order("v1", 0)), Effect::Unchanged);
+    state.apply(3, &order("v2", 0));
+    assert_eq!(state.apply(4, &order("v1", 0)), Effect::Duplicate);
+    state.apply(5, &advance(3, Phase::Promoting));
+    state.apply(6, &advance(3, Phase::Completed));
+    assert_eq!(state.apply(7, &order("v1", 0)), Effect::Duplicate);
+    assert_eq!(state.services["s"].version.as_deref(), Some("v2"));
 }
 
 /// Guards against a state that grows with every order.
 #[test]
 fn old_orders_are_forgotten() {
-    let mut records = Records::default();
+    let mut state = ControlState::default();
     for n in 0..100 {
         let index = 2 * n + 1;
         assert_eq!(
-            records.apply(index, &order(&format!("v{n}"), 0)),
-            Effect::Service
+            state.apply(index, &order(&format!("v{n}"), 0)),
+            Effect::ServiceChanged
         );
-        records.apply(index + 1, &advance(index, Phase::Returned));
+        state.apply(index + 1, &advance(index, Phase::RolledBack));
     }
-    assert_eq!(records.orders["s"].len(), MOST_ORDERS);
+    assert_eq!(state.orders["s"].len(), MAX_REMEMBERED_ORDERS);
 }
 
 /// Guards against a snapshot of the first release that is not read, and what it had in force forgotten or refused.
 #[test]
 fn a_snapshot_of_the_first_release_is_read() {
-    let (mut records, _) = applied(&[replace(7, "a"), order("v2", 0), advance(2, Phase::Returned)]);
-    let first = (&records.edition, &records.services);
-    let mut read = Records::unpack(&postcard::to_stdvec(&first).expect("plain")).expect("readable");
+    let (mut state, _) = applied(&[
+        replace(7, "a"),
+        order("v2", 0),
+        advance(2, Phase::RolledBack),
+    ]);
+    let first = (&state.config, &state.services);
+    let mut read =
+        ControlState::decode(&postcard::to_stdvec(&first).expect("plain")).expect("readable");
     assert_eq!(read.apply(4, &replace(7, "b")), other("a"));
-    assert_eq!(read.apply(5, &replace(7, "a")), Effect::Again);
+    assert_eq!(read.apply(5, &replace(7, "a")), Effect::Duplicate);
     assert_eq!(
         read.apply(6, &replace(6, "c")),
-        Effect::Idle,
+        Effect::Unchanged,
         "not known whether it was taken"
     );
-    assert_eq!(read.apply(7, &order("v2", 0)), Effect::Again);
-    records.apply(8, &order("v3", 0));
-    let whole = records.pack();
+    assert_eq!(read.apply(7, &order("v2", 0)), Effect::Duplicate);
+    state.apply(8, &order("v3", 0));
+    let whole = state.encode();
     assert!(
-        (1..whole.len()).all(|n| Records::unpack(&whole[..n]).is_err()),
+        (1..whole.len()).all(|n| ControlState::decode(&whole[..n]).is_err()),
         "a part of it is none"
     );
 }
@@ -341,31 +351,28 @@
 /// Guards against orders of the first release's log that are no longer read, or read as something else.
 #[test]
 fn an_order_of_the_first_release_is_read() {
-    let begin = Command::Begin {
+    let begin = Command::BeginRolloutV1 {
         service: "s".into(),
-        to: "v2".into(),
+        target_version: "v2".into(),
         within: 12_000_000,
     };
     let stored = [&[1, 1, b's', 2, b'v', b'2'][..], &[128, 182, 220, 5]].concat();
-    assert_eq!(Command::unpack(&stored), Ok(begin.clone()));
-    let (records, effects) = applied(&[
+    assert_eq!(Command::decode(&stored), Ok(begin.clone()));
+    let (state, effects) = applied(&[
         begin.clone(),
         begin.clone(),
-        advance(1, Phase::Returned),
+        advance(1, Phase::RolledBack),
         begin,
     ]);
     assert_eq!(
         effects,
         [
-            Effect::Service,
-            Effect::Again,
-            Effect::Service,
-            Effect::Service
+            Effect::ServiceChanged,
+            Effect::Duplicate,
+            Effect::ServiceChanged,
+            Effect::ServiceChanged
         ],
         "as it did"
     );
-    assert_eq!(
-        records.services["s"].rollout.as_ref().map(|r| r.order),
-        Some(4)
-    );
+    assert_eq!(state.services["s"].rollout.as_ref().map(|r| r.id), Some(4));
 }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,34 +1,40 @@
-//! The steady clock of this process. It is tokio's, so that rigs may let time pass as they like.
+//! The clocks of this process. The monotonic one is tokio's, so that simulations may let time pass as they like.
 
 use std::sync::OnceLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A time span or an instant on the steady clock, in microseconds.
+/// An instant on the monotonic clock, or a span of time, in microseconds.
 pub type Micros = u64;
 
 static ORIGIN: OnceLock<Instant> = OnceLock::new();
 
-/// Instants begin here, so that a difference to one "long ago" never falls below zero.
-const BEGINNING: Micros = 1_000_000_000;
+/// The first instant, so that a difference to one "long ago" never falls below zero.
+const FIRST_INSTANT: Micros = 1_000_000_000;
 
-/// Now, in microseconds since some moment before this process began.
+/// Returns the present instant, in microseconds since some moment before this process started.
 pub fn now() -> Micros {
-    BEGINNING + ORIGIN.get_or_init(Instant::now).elapsed().as_micros() as Micros
+    FIRST_INSTANT + ORIGIN.get_or_init(Instant::now).elapsed().as_micros() as Micros
 }
 
-/// The time of day, in microseconds since 1970. It may jump, and differ between machines.
-pub fn day() -> Micros {
+/// Returns the time of day, in microseconds since 1970. It may jump, and differ between machines.
+pub fn time_of_day() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_micros() as Micros)
 }
 
-/// Waits until then.
-pub async fn until(then: Micros) {
-    tokio::time::sleep(span(then.saturating_sub(now()))).await;
+/// Sleeps until an instant.
+pub async fn sleep_until(instant: Micros) {
+    sleep(instant.saturating_sub(now())).await;
 }
 
-pub fn span(micros: Micros) -> Duration {
-    Duration::from_micros(micros)
+/// Sleeps for a span of time.
+pub async fn sleep(span: Micros) {
+    tokio::time::sleep(duration(span)).await;
+}
+
+/// Converts a span of time.
+pub fn duration(span: Micros) -> Duration {
+    Duration::from_micros(span)
 }
--- a/crates/gateway/src/commands/check.rs
+++ b/crates/gateway/src/commands/check.rs
@@ -3,11 +3,11 @@
 use super::tables::{columns, listed, pairs};
 use super::{say, End};
 use jzon::JsonValue as Json;
+use magpieline_config::diagnostic::Diagnostic;
 use magpieline_config::durations;
-use magpieline_config::gateway_config::Edition;
-use magpieline_config::node_settings::Machine;
-use magpieline_config::place::Complaint;
-use magpieline_config::route_table::{Route, Sort};
+use magpieline_config::gateway_config::GatewayConfig;
+use magpieline_config::node_settings::NodeSettings;
+use magpieline_config::route_table::{Idempotency, Route};
 use std::io::Read;
 
 #[derive(gumdrop::Options)]
@@ -116,7 +116,7 @@
 /// What a check has found.
 struct Found {
     kind: Kind,
-    wrong: Vec<Complaint>,
+    wrong: Vec<Diagnostic>,
     /// What is sound, and hardly what was meant.
     notes: Vec<String>,
     summary: Vec<(&'static str, String)>,
@@ -135,18 +135,18 @@
         routes: String::new(),
     };
     match kind {
-        Kind::Settings => match Machine::read(text) {
+        Kind::Settings => match NodeSettings::parse(text) {
             Ok(machine) => {
                 (found.summary, found.json) = (machine_lines(&machine), machine_json(&machine))
             }
             Err(wrong) => found.wrong = wrong,
         },
-        Kind::Configuration => match Edition::examine(text) {
-            Ok(edition) => {
-                (found.summary, found.json) = (edition_lines(&edition), edition_json(&edition));
-                found.notes = notes(&edition);
+        Kind::Configuration => match GatewayConfig::parse_collecting_all(text) {
+            Ok(config) => {
+                (found.summary, found.json) = (config_lines(&config), config_json(&config));
+                found.notes = notes(&config);
                 if routes {
-                    found.routes = route_table(&edition);
+                    found.routes = route_table(&config);
                 }
             }
             Err(wrong) => found.wrong = wrong,
@@ -189,20 +189,24 @@
 }
 
 /// Complaints for machines.
-pub fn complaints(wrong: &[Complaint]) -> Vec<Json> {
-    let shown = |c: &Complaint| {
-        jzon::object! { place: c.place.as_str(), found: c.found.as_str(), expected: c.expected.as_str() }
+pub fn complaints(wrong: &[Diagnostic]) -> Vec<Json> {
+    let shown = |c: &Diagnostic| {
+        jzon::object! { place: c.path.as_str(), found: c.found.as_str(), expected: c.expected.as_str() }
     };
     wrong.iter().map(shown).collect()
 }
 
-fn machine_lines(machine: &Machine) -> Vec<(&'static str, String)> {
+fn machine_lines(machine: &NodeSettings) -> Vec<(&'static str, String)> {
     let posts: Vec<String> = machine
-        .posts
+        .listen_addresses
         .iter()
         .map(|(name, at)| format!("{name} {at}"))
         .collect();
-    let seeds: Vec<String> = machine.seeds.iter().map(|s| s.to_string()).collect();
+    let seeds: Vec<String> = machine
+        .controller_seeds
+        .iter()
+        .map(|s| s.to_string())
+        .collect();
     let zones: Vec<String> = machine
         .zones
         .iter()
@@ -212,32 +216,32 @@
         .into_iter()
         .map(|(name, v)| format!("{name} {v}"))
         .collect();
-    let carrier = match machine.carrier.address {
+    let carrier = match machine.platform.address {
         Some(at) => {
             format!(
                 "{at}, {} calls a second, {} behind",
-                machine.carrier.per_s,
-                durations::write(machine.carrier.lag)
+                machine.platform.calls_per_second,
+                durations::format(machine.platform.lag)
             )
         }
         None => "none".into(),
     };
     vec![
         ("node", machine.node.clone()),
-        ("class", machine.class.clone()),
+        ("class", machine.machine_class.clone()),
         ("zone", format!("{} ({})", machine.zone, machine.region)),
         ("runs", listed(&roles(machine))),
         (
             "inner",
             format!(
                 "{}:{} to {}",
-                machine.ip, machine.inner_ports.0, machine.inner_ports.1
+                machine.ip, machine.agent_ports.0, machine.agent_ports.1
             ),
         ),
         ("posts", listed(&posts)),
         (
             "store",
-            machine.store.clone().unwrap_or_else(|| "none".into()),
+            machine.store_dir.clone().unwrap_or_else(|| "none".into()),
         ),
         ("first run", machine.first_run.to_string()),
         ("seeds", listed(&seeds)),
@@ -247,18 +251,21 @@
             "bounds",
             format!(
                 "{} MB of memory, {} descriptors, {} MB of disk",
-                machine.memory_mb, machine.descriptors, machine.disk_mb
+                machine.memory_mb, machine.max_descriptors, machine.disk_mb
             ),
         ),
-        ("withstands", format!("the loss of {}", machine.withstand)),
+        (
+            "withstands",
+            format!("the loss of {}", machine.tolerated_machines),
+        ),
         ("terms", terms.join(", ")),
     ]
 }
 
-fn machine_json(machine: &Machine) -> Json {
+fn machine_json(machine: &NodeSettings) -> Json {
     let mut posts = Json::new_object();
     machine
-        .posts
+        .listen_addresses
         .iter()
         .for_each(|(name, at)| drop(posts.insert(name, at.to_string())));
     let mut terms_shown = Json::new_object();
@@ -266,34 +273,34 @@
         .into_iter()
         .for_each(|(name, value)| drop(terms_shown.insert(name, value)));
     jzon::object! {
-        node: machine.node.as_str(), class: machine.class.as_str(), zone: machine.zone.as_str(),
+        node: machine.node.as_str(), class: machine.machine_class.as_str(), zone: machine.zone.as_str(),
         region: machine.region.as_str(), runs: roles(machine), ip: machine.ip.to_string(),
-        inner_ports: [machine.inner_ports.0, machine.inner_ports.1], posts: posts,
-        store: machine.store.as_deref(), first_run: machine.first_run,
-        seeds: machine.seeds.iter().map(|s| s.to_string()).collect::<Vec<_>>(),
-        platform: machine.carrier.address.map(|a| a.to_string()),
+        inner_ports: [machine.agent_ports.0, machine.agent_ports.1], posts: posts,
+        store: machine.store_dir.as_deref(), first_run: machine.first_run,
+        seeds: machine.controller_seeds.iter().map(|s| s.to_string()).collect::<Vec<_>>(),
+        platform: machine.platform.address.map(|a| a.to_string()),
         zones: machine.zones.keys().map(String::as_str).collect::<Vec<_>>(),
-        memory_mb: machine.memory_mb, descriptors: machine.descriptors, disk_mb: machine.disk_mb,
-        withstand: machine.withstand, terms: terms_shown
+        memory_mb: machine.memory_mb, descriptors: machine.max_descriptors, disk_mb: machine.disk_mb,
+        withstand: machine.tolerated_machines, terms: terms_shown
     }
 }
 
 /// The commands that such a machine can run.
-fn roles(machine: &Machine) -> Vec<&'static str> {
-    let has = |post: &str| machine.posts.contains_key(post);
+fn roles(machine: &NodeSettings) -> Vec<&'static str> {
+    let has = |post: &str| machine.listen_addresses.contains_key(post);
     let mut roles = Vec::new();
     if has("front") && has("ready") {
         roles.push("proxy");
     }
-    if has("control") && machine.store.is_some() {
+    if has("control") && machine.store_dir.is_some() {
         roles.push("controller");
     }
     roles
 }
 
-fn terms(machine: &Machine) -> Vec<(&'static str, String)> {
-    let t = &machine.terms;
-    let time = |micros| durations::write(micros);
+fn terms(machine: &NodeSettings) -> Vec<(&'static str, String)> {
+    let t = &machine.guarantees;
+    let time = |micros| durations::format(micros);
     vec![
         ("seed_lag", time(t.seed_lag)),
         ("reuse_after", time(t.reuse_after)),
@@ -314,20 +321,20 @@
 }
 
 /// All routes, by host and prefix.
-fn sorted(edition: &Edition) -> Vec<(&str, &Route)> {
-    let mut all: Vec<(&str, &Route)> = edition
-        .table()
-        .all()
+fn sorted(config: &GatewayConfig) -> Vec<(&str, &Route)> {
+    let mut all: Vec<(&str, &Route)> = config
+        .routes()
+        .iter()
         .map(|(host, route)| (host, &**route))
         .collect();
     all.sort_by(|a, b| (a.0, &a.1.prefix).cmp(&(b.0, &b.1.prefix)));
     all
 }
 
-fn sort_name(sort: Sort) -> &'static str {
-    match sort {
-        Sort::Safe => "safe",
-        Sort::Unsafe => "unsafe",
+fn sort_name(idempotency: Idempotency) -> &'static str {
+    match idempotency {
+        Idempotency::Idempotent => "safe",
+        Idempotency::NonIdempotent => "unsafe",
     }
 }
 
@@ -338,45 +345,51 @@
     split: usize,
 }
 
-fn counts(edition: &Edition) -> Counts {
-    let routes = sorted(edition);
+fn counts(config: &GatewayConfig) -> Counts {
+    let routes = sorted(config);
     let mut hosts: Vec<String> = routes.iter().map(|(host, _)| (*host).to_owned()).collect();
     hosts.dedup();
     Counts {
         hosts,
         all: routes.len(),
-        safe: routes.iter().filter(|(_, r)| r.sort == Sort::Safe).count(),
-        split: routes.iter().filter(|(_, r)| r.parts.len() > 1).count(),
+        safe: routes
+            .iter()
+            .filter(|(_, r)| r.idempotency == Idempotency::Idempotent)
+            .count(),
+        split: routes
+            .iter()
+            .filter(|(_, r)| r.destinations.len() > 1)
+            .count(),
     }
 }
 
-fn fleets(edition: &Edition) -> Vec<&magpieline_config::gateway_config::Fleet> {
-    let mut fleets: Vec<_> = edition.fleets.values().collect();
+fn fleets(config: &GatewayConfig) -> Vec<&magpieline_config::gateway_config::ServiceConfig> {
+    let mut fleets: Vec<_> = config.services.values().collect();
     fleets.sort_by(|a, b| a.name.cmp(&b.name));
     fleets
 }
 
 /// How many routes go to a service, at least in part.
-fn routes_to(edition: &Edition, service: &str) -> usize {
-    edition
-        .table()
-        .all()
-        .filter(|(_, r)| r.parts.iter().any(|p| &*p.service == service))
+fn routes_to(config: &GatewayConfig, service: &str) -> usize {
+    config
+        .routes()
+        .iter()
+        .filter(|(_, r)| r.destinations.iter().any(|p| &*p.service == service))
         .count()
 }
 
 /// A configuration for people.
-pub fn edition_lines(edition: &Edition) -> Vec<(&'static str, String)> {
-    let (counts, allowed) = (counts(edition), edition.allowances);
-    let services: Vec<String> = fleets(edition)
+pub fn config_lines(config: &GatewayConfig) -> Vec<(&'static str, String)> {
+    let (counts, allowed) = (counts(config), config.client_limits);
+    let services: Vec<String> = fleets(config)
         .iter()
         .map(|f| {
-            let cap = if f.conn_cap == u32::MAX {
+            let cap = if f.max_connections == u32::MAX {
                 "any number of".into()
             } else {
-                f.conn_cap.to_string()
+                f.max_connections.to_string()
             };
-            let routes = match routes_to(edition, &f.name) {
+            let routes = match routes_to(config, &f.name) {
                 1 => "1 route".into(),
                 many => format!("{many} routes"),
             };
@@ -387,7 +400,7 @@
         })
         .collect();
     vec![
-        ("edition", edition.number.to_string()),
+        ("edition", config.version.to_string()),
         ("hosts", listed(&counts.hosts)),
         (
             "routes",
@@ -406,36 +419,36 @@
                 "header_bytes {}, body_bytes {}, header {}, idle {}",
                 allowed.header_bytes,
                 allowed.body_bytes,
-                durations::write(allowed.header),
-                durations::write(allowed.idle)
+                durations::format(allowed.header_timeout),
+                durations::format(allowed.idle_timeout)
             ),
         ),
     ]
 }
 
 /// A configuration for machines.
-fn edition_json(edition: &Edition) -> Json {
-    let (counts, allowed) = (counts(edition), edition.allowances);
-    let services: Vec<Json> = fleets(edition)
+fn config_json(config: &GatewayConfig) -> Json {
+    let (counts, allowed) = (counts(config), config.client_limits);
+    let services: Vec<Json> = fleets(config)
         .iter()
         .map(|f| {
-            jzon::object! { name: &*f.name, routes: routes_to(edition, &f.name), conn_cap: f.conn_cap,
+            jzon::object! { name: &*f.name, routes: routes_to(config, &f.name), conn_cap: f.max_connections,
             health_path: f.health_path.as_str() }
         })
         .collect();
     jzon::object! {
-        edition: edition.number,
+        edition: config.version,
         hosts: counts.hosts,
         routes: jzon::object! { all: counts.all, safe: counts.safe, unsafe: counts.all - counts.safe,
             split: counts.split },
         services: services,
         allowances: jzon::object! { header_bytes: allowed.header_bytes, body_bytes: allowed.body_bytes,
-            header: durations::write(allowed.header), idle: durations::write(allowed.idle) }
+            header: durations::format(allowed.header_timeout), idle: durations::format(allowed.idle_timeout) }
     }
 }
 
 /// A configuration's routes, one a line.
-pub fn route_table(edition: &Edition) -> String {
+pub fn route_table(config: &GatewayConfig) -> String {
     let head = [
         "host",
         "prefix",
@@ -448,24 +461,24 @@
         "precedence",
     ];
     let mut rows = vec![head.map(str::to_owned).to_vec()];
-    for (host, route) in sorted(edition) {
-        let all: f64 = route.parts.iter().map(|p| p.share).sum();
-        let to: Vec<String> = match &route.parts[..] {
+    for (host, route) in sorted(config) {
+        let all: f64 = route.destinations.iter().map(|p| p.weight).sum();
+        let to: Vec<String> = match &route.destinations[..] {
             [one] => vec![one.service.to_string()],
             parts => parts
                 .iter()
-                .map(|p| format!("{} {:.0}%", p.service, 100.0 * p.share / all))
+                .map(|p| format!("{} {:.0}%", p.service, 100.0 * p.weight / all))
                 .collect(),
         };
         rows.push(vec![
             host.to_owned(),
             route.prefix.clone(),
             route.name.to_string(),
-            sort_name(route.sort).to_owned(),
+            sort_name(route.idempotency).to_owned(),
             listed(&to),
-            durations::write(route.target),
-            durations::write(route.give_up),
-            route.tries.to_string(),
+            durations::format(route.latency_target),
+            durations::format(route.timeout),
+            route.max_attempts.to_string(),
             route.precedence.to_string(),
         ]);
     }
@@ -473,9 +486,9 @@
 }
 
 /// What a configuration may say, and hardly means.
-fn notes(edition: &Edition) -> Vec<String> {
+fn notes(config: &GatewayConfig) -> Vec<String> {
     let unmet = |prefix: &str| !prefix.starts_with('/') || !prefix.ends_with('/');
-    let prefixes = sorted(edition)
+    let prefixes = sorted(config)
         .into_iter()
         .filter(|(_, route)| unmet(&route.prefix));
     let mut notes: Vec<String> = prefixes
@@ -486,9 +499,9 @@
             )
         })
         .collect();
-    let idle = fleets(edition)
+    let idle = fleets(config)
         .into_iter()
-        .filter(|f| routes_to(edition, &f.name) == 0);
+        .filter(|f| routes_to(config, &f.name) == 0);
     notes.extend(idle.map(|f| format!("service {}: no route goes to it", f.name)));
     notes
 }
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -165,7 +165,7 @@
 
 /// A time above 0 as operators write it.
 fn time(text: &str) -> Result<Micros, String> {
-    let time = durations::read(text).filter(|t| *t > 0);
+    let time = durations::parse(text).filter(|t| *t > 0);
     time.ok_or_else(|| format!("found '{text}', expected a time above 0 such as 1500ms or 2.5s"))
 }
 
--- a/crates/gateway/src/commands/operator_client.rs
+++ b/crates/gateway/src/commands/operator_client.rs
@@ -1,8 +1,8 @@
 //! Calls to the sorting machines' `control` addresses, as operators make them: a few redirects are followed, another
 //! address is tried after a failure or silence, with pauses that grow, until there is a clear answer or no time left.
 
-use crate::clock::{now, span, Micros};
-use crate::net::{self, Wire};
+use crate::clock::{duration, now, Micros};
+use crate::net::{self, HyperIo};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{CONTENT_TYPE, HOST, LOCATION};
@@ -102,7 +102,7 @@
         if now() + pause >= until {
             return Err(Failed::Unclear(tried));
         }
-        tokio::time::sleep(span(pause)).await;
+        tokio::time::sleep(duration(pause)).await;
         pause = (2 * pause).min(PAUSES.1);
     }
 }
@@ -116,10 +116,15 @@
         let silence = SILENCE + EACH_BYTE * body.len() as Micros;
         // The last moments are for an address that may just be slow.
         let within = silence.min(until.saturating_sub(now()).max(SILENCE));
-        let (status, moved, text) = match timeout(span(within), post(at, &path, body)).await {
+        let (status, moved, text) = match timeout(duration(within), post(at, &path, body)).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(wrong)) => return Err((at, wrong)),
-            Err(_) => return Err((at, format!("no answer within {}", durations::write(within)))),
+            Err(_) => {
+                return Err((
+                    at,
+                    format!("no answer within {}", durations::format(within)),
+                ))
+            }
         };
         if next(status) != Next::Move {
             return Ok((at, status, text));
@@ -160,7 +165,7 @@
     let broken = |e: hyper::Error| {
         format!("found no answer ({e}), expected a sorting machine's control address")
     };
-    let (mut line, rest) = hyper::client::conn::http1::handshake(Wire(stream))
+    let (mut line, rest) = hyper::client::conn::http1::handshake(HyperIo(stream))
         .await
         .map_err(broken)?;
     tokio::spawn(rest);
--- a/crates/gateway/src/commands/operator_commands.rs
+++ b/crates/gateway/src/commands/operator_commands.rs
@@ -1,13 +1,13 @@
 //! What operators ask of the sorting machines: a configuration, rollouts, and what is in force.
 
-use super::check::{complaints, edition_lines, read as read_file, route_table};
+use super::check::{complaints, config_lines, read as read_file, route_table};
 use super::operator_client::{call, faults, Answer, Failed};
 use super::tables::pairs;
 use super::{say, time, wait_for, Addresses, End};
-use crate::clock::{now, span, Micros};
+use crate::clock::{duration, now, Micros};
 use jzon::JsonValue as Json;
 use magpieline_config::durations;
-use magpieline_config::gateway_config::Edition;
+use magpieline_config::gateway_config::GatewayConfig;
 
 /// A rollout that is waited for is asked about this often,
 const ASK_EVERY: Micros = 500_000;
@@ -149,9 +149,9 @@
             ));
         }
     };
-    let edition = match Edition::examine(&text) {
-        Ok(edition) => Some(edition.number),
-        Err(_) if options.unchecked => magpieline_config::gateway_config::number_of(&text),
+    let edition = match GatewayConfig::parse_collecting_all(&text) {
+        Ok(config) => Some(config.version),
+        Err(_) if options.unchecked => magpieline_config::gateway_config::claimed_version(&text),
         Err(wrong) => {
             let list: String = wrong.iter().map(|c| format!("\n  {c}")).collect();
             let sentence = format!("{file}: not sent, as it is no sound configuration:{list}");
@@ -192,7 +192,7 @@
     let Some(held) = held else {
         return (true, format!("{said}; it could not be read back."));
     };
-    let newest = magpieline_config::gateway_config::number_of(&held.text);
+    let newest = magpieline_config::gateway_config::claimed_version(&held.text);
     let alike = held.text == text
         || matches!((jzon::parse(&held.text), jzon::parse(text)), (Ok(a), Ok(b)) if a == b);
     match newest {
@@ -219,11 +219,11 @@
         if options.json {
             return say(&answer.text).into();
         }
-        match Edition::read(&answer.text) {
-            Ok(edition) => say(&format!(
+        match GatewayConfig::parse(&answer.text) {
+            Ok(config) => say(&format!(
                 "{}{}",
-                pairs(&edition_lines(&edition), ""),
-                route_table(&edition)
+                pairs(&config_lines(&config), ""),
+                route_table(&config)
             ))
             .into(),
             Err(wrong) => {
@@ -252,7 +252,7 @@
     wait_for(async {
         if let Some((version, within)) = term {
             let body = jzon::object! { service: service.as_str(), to_edition: version.as_str(),
-            within: durations::write(within) };
+            within: durations::format(within) };
             let called = call(
                 &options.address.0,
                 "call=editions.begin",
@@ -282,7 +282,7 @@
             };
             let moves = stands.state == "in_transit";
             if options.wait && moves && now() < until {
-                tokio::time::sleep(span(ASK_EVERY)).await;
+                tokio::time::sleep(duration(ASK_EVERY)).await;
                 continue;
             }
             return stands.told(options, term.map(|(version, _)| version.as_str()));
--- a/crates/gateway/src/commands/serve.rs
+++ b/crates/gateway/src/commands/serve.rs
@@ -1,8 +1,8 @@
 //! The commands that serve: a role on one thread, as machines have a fifth of a core.
 
 use super::{wait_for, End};
-use crate::settings::{self, Held, Watcher};
-use crate::{clock, controller, log, proxy};
+use crate::settings::{self, SettingsWatch, Watcher};
+use crate::{clock, controller, logging, proxy};
 use std::future::Future;
 use std::path::PathBuf;
 use std::pin::Pin;
@@ -32,14 +32,14 @@
 type Running = Pin<Box<dyn Future<Output = std::io::Result<()>>>>;
 
 pub fn proxy(options: Options) -> Result<End, String> {
-    start("proxy", options, |settings, life| {
-        Box::pin(proxy::run(settings, life))
+    start("proxy", options, |settings, incarnation| {
+        Box::pin(proxy::run(settings, incarnation))
     })
 }
 
 pub fn controller(options: Options) -> Result<End, String> {
-    start("controller", options, |settings, life| {
-        Box::pin(controller::run(settings, life))
+    start("controller", options, |settings, incarnation| {
+        Box::pin(controller::run(settings, incarnation))
     })
 }
 
@@ -47,9 +47,9 @@
 fn start(
     role: &str,
     options: Options,
-    run: impl FnOnce(Held, u64) -> Running,
+    run: impl FnOnce(SettingsWatch, u64) -> Running,
 ) -> Result<End, String> {
-    log::start(&options.log, options.json)?;
+    logging::start(&options.log, options.json).map_err(|error| error.to_string())?;
     let path = options
         .settings
         .or_else(|| std::env::var(SETTINGS.0).ok())
@@ -64,8 +64,8 @@
     let (version, node) = (env!("CARGO_PKG_VERSION"), &watcher.machine().node);
     tracing::info!(target: "start", "{role} {version} as {node}, by {path}.");
     clock::now();
-    let life = rand::random::<u64>().max(1);
-    let served = wait_for(async { run(settings::watch(watcher)?, life).await });
+    let incarnation = rand::random::<u64>().max(1);
+    let served = wait_for(async { run(settings::watch(watcher)?, incarnation).await });
     Ok(
         match served.map(|served| served.map_err(|e| e.to_string())) {
             Ok(Ok(())) => End::Done,
--- a/crates/gateway/src/commands/store.rs
+++ b/crates/gateway/src/commands/store.rs
@@ -2,9 +2,10 @@
 
 use super::tables::{columns, listed, pairs};
 use super::{say, End};
+use crate::view::phase_name;
 use jzon::JsonValue as Json;
 use magpieline_config::durations;
-use magpieline_control_plane::state_machine::{Command, Records};
+use magpieline_control_plane::state_machine::{Command, ControlState};
 use magpieline_raft::{Entry, NodeId, Payload, PersistentState};
 use magpieline_raft_store::{inspect, is_in_use, Inspection, StoreError};
 use std::path::Path;
@@ -47,7 +48,7 @@
     };
     let contents = Contents::of(&found, in_use);
     if options.configuration {
-        return Ok(match &contents.latest().edition {
+        return Ok(match &contents.latest().config {
             Some(kept) => say(&kept.text).into(),
             None => failed(
                 options,
@@ -115,30 +116,33 @@
 /// A command's name and what it is about.
 fn command_shown(command: &Command) -> (&'static str, String) {
     match command {
-        Command::Replace(kept) => (
+        Command::ReplaceConfig(kept) => (
             "replace",
-            format!("edition {}, {} bytes", kept.number, kept.text.len()),
+            format!("edition {}, {} bytes", kept.version, kept.text.len()),
         ),
-        Command::Begin {
+        Command::BeginRolloutV1 {
             service,
-            to,
+            target_version: to,
             within,
         }
-        | Command::Order {
+        | Command::BeginRollout {
             service,
-            to,
+            target_version: to,
             within,
             ..
         } => (
             "begin",
-            format!("{service} to {to} within {}", durations::write(*within)),
+            format!("{service} to {to} within {}", durations::format(*within)),
         ),
-        Command::Advance {
+        Command::AdvanceRollout {
             service,
-            order,
+            id: order,
             phase,
-        } => ("advance", format!("{service}, order {order}: {phase:?}")),
-        Command::Stands { service, version } => ("stands", format!("{service} {version}")),
+        } => (
+            "advance",
+            format!("{service}, order {order}: {}", phase_name(*phase)),
+        ),
+        Command::SetVersion { service, version } => ("stands", format!("{service} {version}")),
     }
 }
 
@@ -171,7 +175,7 @@
             }
             Payload::Command { more: false, bytes } => {
                 pieces.extend_from_slice(bytes);
-                command = Command::unpack(&std::mem::take(&mut pieces)).ok();
+                command = Command::decode(&std::mem::take(&mut pieces)).ok();
                 command.as_ref().map_or(
                     ("unreadable", format!("{} bytes", bytes.len())),
                     command_shown,
@@ -201,11 +205,11 @@
 }
 
 /// What was agreed on, carried out again: from the snapshot, through the log up to `to`.
-fn replay(stored: &PersistentState, places: &[Place], to: u64) -> Records {
-    let (mut records, mut at) = (Records::default(), 0);
+fn replay(stored: &PersistentState, places: &[Place], to: u64) -> ControlState {
+    let (mut records, mut at) = (ControlState::default(), 0);
     if let Some(snapshot) = &stored.snapshot {
         (records, at) = (
-            Records::unpack(&snapshot.state).unwrap_or_default(),
+            ControlState::decode(&snapshot.state).unwrap_or_default(),
             snapshot.index,
         );
     }
@@ -225,9 +229,9 @@
     /// Up to here all is in force for certain, as far as this store knows.
     certain: u64,
     last: u64,
-    in_force: Records,
+    in_force: ControlState,
     /// With what follows in the log, which may be in force or not, if that says more.
-    beyond: Option<Records>,
+    beyond: Option<ControlState>,
 }
 
 impl Contents<'_> {
@@ -254,7 +258,7 @@
         }
     }
 
-    fn latest(&self) -> &Records {
+    fn latest(&self) -> &ControlState {
         self.beyond.as_ref().unwrap_or(&self.in_force)
     }
 
@@ -292,7 +296,7 @@
             .map(|(kind, count)| format!("{count} {kind}"))
             .collect();
         let snapshot = stored.snapshot.as_ref().map_or("none".into(), |s| {
-            let whole = if Records::unpack(&s.state).is_ok() {
+            let whole = if ControlState::decode(&s.state).is_ok() {
                 ""
             } else {
                 ", unreadable"
@@ -377,7 +381,7 @@
             log: jzon::object! { first: self.places.first().map(|p| p.index),
                 last: self.places.last().map(|p| p.index), certain: self.certain, kinds: kinds },
             snapshot: stored.snapshot.as_ref().map_or(Json::Null, |s| jzon::object! {
-                index: s.index, term: s.term, bytes: s.state.len(), readable: Records::unpack(&s.state).is_ok() }),
+                index: s.index, term: s.term, bytes: s.state.len(), readable: ControlState::decode(&s.state).is_ok() }),
             in_force: records_json(&self.in_force),
             with_what_follows: self.beyond.as_ref().map(records_json)
         };
@@ -395,10 +399,10 @@
     }
 }
 
-fn records_text(records: &Records) -> String {
-    let edition = records.edition.as_ref();
+fn records_text(records: &ControlState) -> String {
+    let edition = records.config.as_ref();
     let edition = edition.map_or("none".into(), |k| {
-        format!("{}, {} bytes", k.number, k.text.len())
+        format!("{}, {} bytes", k.version, k.text.len())
     });
     let mut text = pairs(&[("edition", edition)], "  ");
     let mut rows = vec![["service", "stands", "rollout", "barred"]
@@ -407,11 +411,11 @@
     for (name, standing) in &records.services {
         let rollout = standing.rollout.as_ref().map_or("none".into(), |r| {
             format!(
-                "to {}: {:?} (order {}, within {})",
-                r.to,
-                r.phase,
-                r.order,
-                durations::write(r.within)
+                "to {}: {} (order {}, within {})",
+                r.target_version,
+                phase_name(r.phase),
+                r.id,
+                durations::format(r.within)
             )
         });
         let stands = standing
@@ -422,7 +426,7 @@
             name.clone(),
             stands,
             rollout,
-            listed(&standing.barred),
+            listed(&standing.rejected_versions),
         ]);
     }
     if rows.len() > 1 {
@@ -431,16 +435,16 @@
     text
 }
 
-fn records_json(records: &Records) -> Json {
+fn records_json(records: &ControlState) -> Json {
     let mut services = Json::new_object();
     for (name, standing) in &records.services {
         let rollout = standing.rollout.as_ref().map_or(Json::Null, |r| {
-            jzon::object! { to: r.to.as_str(), phase: format!("{:?}", r.phase), order: r.order,
+            jzon::object! { to: r.target_version.as_str(), phase: phase_name(r.phase), order: r.id,
             within_ms: r.within / 1000 }
         });
-        let shown = jzon::object! { version: standing.version.as_deref(), barred: standing.barred.clone(),
+        let shown = jzon::object! { version: standing.version.as_deref(), barred: standing.rejected_versions.clone(),
         rollout: rollout };
         let _ = services.insert(name, shown);
     }
-    jzon::object! { edition: records.edition.as_ref().map(|k| k.number), services: services }
+    jzon::object! { edition: records.config.as_ref().map(|k| k.version), services: services }
 }
--- a/crates/gateway/src/commands/views.rs
+++ b/crates/gateway/src/commands/views.rs
@@ -1,7 +1,7 @@
 //! Running agents' views, once or again and again.
 
 use super::{address, say, time, wait_for, End};
-use crate::clock::{span, Micros};
+use crate::clock::{duration, Micros};
 use crate::view;
 use std::io::IsTerminal;
 use std::net::SocketAddrV4;
@@ -47,7 +47,7 @@
             left = left.saturating_sub(1);
             match options.every {
                 Some(every) if left > 0 && all != Shown::Unread => {
-                    tokio::time::sleep(span(every)).await
+                    tokio::time::sleep(duration(every)).await
                 }
                 _ => return (all == Shown::All).into(),
             }
@@ -69,14 +69,17 @@
     let asked: Vec<_> = options
         .addresses
         .iter()
-        .map(|at| tokio::spawn(view::ask(*at)))
+        .map(|at| tokio::spawn(view::fetch(*at)))
         .collect();
     let (mut text, mut failed) = (String::new(), Vec::new());
     if !options.json && options.every.is_some() && std::io::stdout().is_terminal() {
         text.push_str(CLEAR);
     }
     for (at, asked) in options.addresses.iter().zip(asked) {
-        let view = asked.await.unwrap_or_else(|e| Err(format!("{at}: {e}")));
+        let view = match asked.await {
+            Ok(fetched) => fetched.map_err(|error| error.to_string()),
+            Err(panic) => Err(format!("{at}: {panic}")),
+        };
         if options.addresses.len() > 1 && !options.json {
             text.push_str(&format!("{at}\n"));
         }
--- a/crates/gateway/src/controller/endpoint_discovery.rs
+++ b/crates/gateway/src/controller/endpoint_discovery.rs
@@ -1,123 +1,139 @@
-//! The leader reads the platform's list and tells the counters what has changed.
+//! The leader reads the platform's list of endpoints, and tells the proxies what has changed.
 
-use super::Sorting;
-use crate::clock::{now, span, Micros};
-use crate::platform_client::{Carrier, Failed, List, Reading};
-use magpieline_control_plane::messages::{Down, Entry, Listing};
+use super::Controller;
+use crate::clock::{now, sleep, Micros};
+use crate::platform_client::{EndpointMap, EndpointSnapshot, ListError, PlatformClient};
+use magpieline_control_plane::messages::{ControllerMessage, Endpoint, EndpointUpdate};
 use magpieline_control_plane::state_machine::Command;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Between two readings: an appliance that leaves must be known everywhere well within the time that it still
-/// serves, and each call has a price.
-const EVERY: Micros = 900_000;
-/// After a reading that failed.
-const AGAIN: Micros = 250_000;
-/// Who does not lead looks this often whether it does.
-const LOOK: Micros = 50_000;
-/// A list whose reading began so long ago is not told any more: pages take a few milliseconds each.
-const OLD: Micros = 2_000_000;
+/// Between two reads: an endpoint that is about to end must be known everywhere well within the time that it still serves, and
+/// each call has a price.
+const READ_INTERVAL: Micros = 900_000;
+/// After a read that failed.
+const RETRY_INTERVAL: Micros = 250_000;
+/// A controller that does not lead checks this often whether it does.
+const CHECK_INTERVAL: Micros = 50_000;
+/// A list whose read began so long ago is not sent any more: pages take a few milliseconds each.
+const MAX_READ_TIME: Micros = 2_000_000;
+/// Too many requests.
+const TOO_MANY_REQUESTS: u16 = 429;
 
-pub async fn run(sorting: Arc<Sorting>) {
-    let Some(mut carrier) = Carrier::of(&sorting.settings) else {
+/// Reads the list while this controller leads, until the task is aborted.
+pub async fn run(controller: Arc<Controller>) {
+    let Some(mut platform) = PlatformClient::new(&controller.settings) else {
         return;
     };
-    let mut led = None;
+    let mut last_term = None;
     loop {
-        let Some(term) = sorting.council.leads_in() else {
-            sorting.council.changed(now() + LOOK).await;
+        let Some(term) = controller.raft.lease_term() else {
+            controller.raft.leader_changed(now() + CHECK_INTERVAL).await;
             continue;
         };
-        if led != Some(term) {
-            // What another leader told since is not known here: all is told anew.
-            (led, sorting.state().list) = (Some(term), None);
+        if last_term != Some(term) {
+            // What another leader has sent since is not known here: everything is sent again.
+            last_term = Some(term);
+            controller.state().endpoints = None;
         }
-        let asked = now();
-        let pause = match carrier.list().await {
-            Ok(list) => {
-                // While it was read this machine may have stood still, and another one may lead.
-                if now() < asked + OLD && sorting.council.leads_in() == Some(term) {
-                    stand(&sorting, &list).await;
-                    tell(&sorting, term, list);
-                }
-                EVERY
+        let pause = read_once(&controller, &mut platform, term).await;
+        sleep(pause).await;
+    }
+}
+
+/// Reads the list once, and sends what has changed. Returns the pause before the next read.
+async fn read_once(controller: &Controller, platform: &mut PlatformClient, term: u64) -> Micros {
+    let started_at = now();
+    match platform.list().await {
+        Ok(endpoints) => {
+            // While the list was read this process may have been suspended, and another controller may lead.
+            let is_recent = now() < started_at + MAX_READ_TIME;
+            if is_recent && controller.raft.lease_term() == Some(term) {
+                set_versions(controller, &endpoints).await;
+                send_changes(controller, term, endpoints);
             }
-            Err(failed) => {
-                tracing::warn!(target: "list", "The list could not be read: {failed:?}.");
-                if matches!(failed, Failed::Refused(429)) {
-                    EVERY
-                } else {
-                    AGAIN
-                }
+            READ_INTERVAL
+        }
+        Err(error) => {
+            tracing::warn!(target: "endpoints", "The list of endpoints could not be read: {error}.");
+            match error {
+                ListError::Status(TOO_MANY_REQUESTS) => READ_INTERVAL,
+                _ => RETRY_INTERVAL,
             }
-        };
-        tokio::time::sleep(span(pause)).await;
+        }
     }
 }
 
-/// Tells all counters what has changed since the last reading, if this machine still leads in the term that it was read
-/// in.
-fn tell(sorting: &Sorting, term: u64, list: List) {
-    if sorting.council.leads_in() != Some(term) {
+/// Sends all proxies what has changed since the last read, if this controller still leads in the term of this read.
+fn send_changes(controller: &Controller, term: u64, endpoints: EndpointMap) {
+    if controller.raft.lease_term() != Some(term) {
         return;
     }
-    let mut state = sorting.state();
-    let mut entries = Vec::new();
-    let known = state.list.take();
-    match &known {
-        None => entries.extend(
-            list.iter()
-                .map(|(id, entry)| (id.clone(), Some(entry.clone()))),
-        ),
-        Some(known) => {
-            for (id, entry) in &list {
-                if !known.list.get(id).is_some_and(|old| alike(old, entry)) {
-                    entries.push((id.clone(), Some(entry.clone())));
-                }
-            }
-            let gone = known.list.keys().filter(|id| !list.contains_key(*id));
-            entries.extend(gone.map(|id| (id.clone(), None)));
-        }
-    }
-    state.list = Some(Reading::new(list));
-    if known.is_none() || !entries.is_empty() {
-        state.tell_all(&Down::Listing(Listing {
-            whole: known.is_none(),
-            entries,
+    let mut state = controller.state();
+    let known = state.endpoints.take();
+    let is_full = known.is_none();
+    let changes = match &known {
+        None => endpoints
+            .iter()
+            .map(|(id, endpoint)| (id.clone(), Some(endpoint.clone())))
+            .collect(),
+        Some(known) => changes_between(&known.endpoints, &endpoints),
+    };
+    state.endpoints = Some(EndpointSnapshot::new(endpoints));
+    if is_full || !changes.is_empty() {
+        state.broadcast(&ControllerMessage::Endpoints(EndpointUpdate {
+            is_full,
+            endpoints: changes,
         }));
     }
 }
 
-/// Whether an entry says the same; the time that is left of its being cold goes on by itself.
-fn alike(old: &Entry, new: &Entry) -> bool {
-    *old == Entry {
-        cold: old.cold,
+/// Returns the endpoints that are new or have changed, then those that are gone.
+fn changes_between(old: &EndpointMap, new: &EndpointMap) -> Vec<(Arc<str>, Option<Endpoint>)> {
+    let is_known = |id: &Arc<str>, endpoint| old.get(id).is_some_and(|old| is_same(old, endpoint));
+    let changed = new.iter().filter(|(id, endpoint)| !is_known(id, endpoint));
+    let changed = changed.map(|(id, endpoint)| (id.clone(), Some(endpoint.clone())));
+    let gone = old
+        .keys()
+        .filter(|id| !new.contains_key(*id))
+        .map(|id| (id.clone(), None));
+    changed.chain(gone).collect()
+}
+
+/// Whether two entries say the same; the time that is left to warm up passes by itself.
+fn is_same(old: &Endpoint, new: &Endpoint) -> bool {
+    *old == Endpoint {
+        warmup_left: old.warmup_left,
         ..new.clone()
     }
 }
 
-/// A service that is seen with one version alone for the first time stands with that one.
-async fn stand(sorting: &Sorting, list: &List) {
+/// Sets the version of each service that is seen for the first time with one version alone.
+async fn set_versions(controller: &Controller, endpoints: &EndpointMap) {
     let mut versions: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-    for entry in list.values() {
-        let seen = versions.entry(&entry.service).or_default();
-        if !seen.contains(&&*entry.version) {
-            seen.push(&entry.version);
+    for endpoint in endpoints.values() {
+        let seen = versions.entry(&endpoint.service).or_default();
+        if !seen.contains(&&*endpoint.version) {
+            seen.push(&endpoint.version);
         }
     }
     for (service, seen) in versions {
-        let known = sorting
-            .state()
-            .records
-            .services
-            .get(service)
-            .is_some_and(|s| s.version.is_some());
-        if let ([version], false) = (&seen[..], known) {
-            let command = Command::Stands {
-                service: service.to_owned(),
-                version: (*version).to_owned(),
-            };
-            let _ = sorting.council.propose(&command).await;
+        let is_known = has_version(controller, service);
+        if let ([version], false) = (&seen[..], is_known) {
+            let (service, version) = (service.to_owned(), (*version).to_owned());
+            let _ = controller
+                .raft
+                .propose(&Command::SetVersion { service, version })
+                .await;
         }
     }
 }
+
+fn has_version(controller: &Controller, service: &str) -> bool {
+    let state = controller.state();
+    state
+        .control
+        .services
+        .get(service)
+        .is_some_and(|service| service.version.is_some())
+}
--- a/crates/gateway/src/controller/leader_redirect.rs
+++ b/crates/gateway/src/controller/leader_redirect.rs
@@ -1,53 +1,54 @@
-//! Where an operator's call is to be answered.
+//! Where an operator's call is answered.
 //!
-//! A machine that can't show that it leads takes nothing and refuses nothing: it names who leads if it has heard of one
-//! lately, or says that nobody does, which ends no operator's call.
+//! A controller that can't show that it leads accepts nothing and refuses nothing: it names the leader if it has heard of one
+//! recently, or says that there is none, which ends no operator's call.
 
 use crate::clock::Micros;
 use std::net::SocketAddrV4;
 
-/// Twice the time that an election takes at most after a leader was lost. Where nobody has led for so long this machine is
-/// likely cut off, and its callers are better off elsewhere at once.
-pub const LONG: Micros = 2_000_000;
-/// Who waits for a leader looks this often whether its lease runs.
-const LOOK: Micros = 20_000;
+/// Twice the time that an election takes at most after a leader was lost. Where nobody has led for so long this controller is
+/// likely partitioned off, and its callers are better off elsewhere at once.
+pub const LEADERLESS_TIMEOUT: Micros = 2_000_000;
+/// How often a call that waits for a leader checks whether this controller's lease holds.
+const CHECK_INTERVAL: Micros = 20_000;
 
-/// What a machine knows of who leads.
+/// What a controller knows of who leads.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sight {
-    /// It does, and nobody else can at this moment.
-    pub leads: bool,
-    /// Another one that was heard to lead within the last second.
-    pub other: Option<SocketAddrV4>,
+pub struct LeaderView {
+    /// It leads itself, and nobody else can at this moment.
+    pub holds_lease: bool,
+    /// Another controller that was heard to lead within the last second.
+    pub other_leader: Option<SocketAddrV4>,
     /// Since when nobody is known to lead.
     pub leaderless_since: Option<Micros>,
 }
 
 /// Where a call is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    Here,
-    /// At this machine (307), by its address among agents.
-    There(SocketAddrV4),
+pub enum Target {
+    /// Here.
+    Local,
+    /// By this controller (307); its address among agents.
+    Redirect(SocketAddrV4),
     /// Nowhere now (503).
-    Nobody,
-    /// Look again at this time, or when something has changed.
+    Unavailable,
+    /// Ask again at this time, or when the leader changes.
     Wait(Micros),
 }
 
-/// The way of a call that is to have an answer at `until`.
-pub fn way(sight: &Sight, now: Micros, until: Micros) -> Way {
-    if sight.leads {
-        return Way::Here;
+/// Decides where a call is answered that is to have an answer at `deadline`.
+pub fn target(view: &LeaderView, now: Micros, deadline: Micros) -> Target {
+    if view.holds_lease {
+        return Target::Local;
     }
-    if let Some(other) = sight.other {
-        return Way::There(other);
+    if let Some(leader) = view.other_leader {
+        return Target::Redirect(leader);
     }
-    let long = sight
+    let is_partitioned = view
         .leaderless_since
-        .is_some_and(|since| now >= since + LONG);
-    if long || now >= until {
-        return Way::Nobody;
+        .is_some_and(|since| now >= since + LEADERLESS_TIMEOUT);
+    if is_partitioned || now >= deadline {
+        return Target::Unavailable;
     }
-    Way::Wait((now + LOOK).min(until))
+    Target::Wait((now + CHECK_INTERVAL).min(deadline))
 }
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -1,4 +1,14 @@
-//! The sorting machine: keeps what is agreed on, and while it leads tells the counters.
+//! The controller role: it stores the configuration and the rollouts by consensus with the other controllers, and while it leads
+//! it keeps the proxies up to date.
+//!
+//! | file | what it does |
+//! | --- | --- |
+//! | [`raft_driver`] | drives the Raft node: connections, disk, clock |
+//! | [`store_recovery`] | what to do about a store that can't be used |
+//! | `operator_api`, [`leader_redirect`] | operators' calls, and which controller answers them |
+//! | `proxy_sessions`, `proxy_outbox` | sessions of proxies, and what is sent to them |
+//! | `endpoint_discovery` | the leader reads the platform's list of endpoints |
+//! | `rollout_controller` | the leader moves rollouts on |
 
 mod endpoint_discovery;
 pub mod leader_redirect;
@@ -11,325 +21,405 @@
 
 use crate::clock::{self, now, Micros};
 use crate::net;
-use crate::platform_client::Reading;
-use crate::settings::Held;
+use crate::platform_client::EndpointSnapshot;
+use crate::settings::SettingsWatch;
+use crate::view::phase_name;
 use jzon::JsonValue as Json;
-use magpieline_config::gateway_config::Edition;
-use magpieline_config::node_settings::Machine;
-use magpieline_config::place::Complaint;
-use magpieline_control_plane::config_sender::Feeds;
-use magpieline_control_plane::deduplication::Witness;
-use magpieline_control_plane::messages::{self, Down, Listing, Stage};
-use magpieline_control_plane::proxy_registry::Roster;
-use magpieline_control_plane::state_machine::{Command, Effect, Records};
-use magpieline_raft::NodeId;
-use raft_driver::Council;
+use magpieline_config::diagnostic::Diagnostic;
+use magpieline_config::gateway_config::GatewayConfig;
+use magpieline_config::node_settings::NodeSettings;
+use magpieline_control_plane::config_sender::ConfigSender;
+use magpieline_control_plane::deduplication::AcceptanceClock;
+use magpieline_control_plane::messages::{ControllerMessage, Endpoint, EndpointUpdate, TrialStage};
+use magpieline_control_plane::proxy_registry::ProxyRegistry;
+use magpieline_control_plane::state_machine::{Command, ControlState, Effect, ServiceState};
+use magpieline_raft::{NodeId, PeerStatus};
+use proxy_outbox::ProxyOutbox;
+use raft_driver::{RaftDriver, RaftHandle, RaftStatus};
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use tokio::task::JoinHandle;
 
-/// After the last word of the agreement calls in hand are answered for so long: those that wait for a leader find one
-/// within it.
-const GIVE_WAY: Micros = 100_000;
+/// After the node has left the cluster, pending calls are answered for so long: those that wait for a leader find one within
+/// it.
+const ANSWER_PENDING_CALLS: Micros = 100_000;
 /// So much of `grace` is left for that and for the end of the process: less on a machine short of processor time.
-const GRACE_LEFT: Micros = 1_000_000;
+const GRACE_RESERVE: Micros = 1_000_000;
 
-/// What all parts of a sorting machine share. Locks are held for a few microseconds, never across a wait.
-pub struct Sorting {
-    /// The settings as it began.
-    pub machine: Machine,
+/// What all parts of a controller share. Locks are held for a few microseconds, never across an await.
+pub struct Controller {
+    /// The settings at the start.
+    pub initial_settings: NodeSettings,
     /// The settings in force.
-    pub settings: Held,
-    state: Mutex<State>,
-    pub council: Council,
-    /// The last sound configuration that an operator sent here: the next one is read after it.
-    sent: Mutex<Option<Arc<Edition>>>,
+    pub settings: SettingsWatch,
+    /// The Raft node.
+    pub raft: RaftHandle,
+    state: Mutex<ControllerState>,
+    /// The last valid configuration that an operator sent here: the next one is parsed after it.
+    last_valid_config: Mutex<Option<Arc<GatewayConfig>>>,
 }
 
-/// What a sorting machine knows.
-pub struct State {
-    pub records: Records,
-    /// For how long this process has known of the orders in `records`.
-    pub witness: Witness,
-    pub roster: Roster,
-    /// What counters that hold on to this machine are told.
-    mouth: proxy_outbox::Mouth,
-    /// How editions go out to them.
-    feeds: Feeds,
-    /// How far trials are open, by service: the order and its stage.
-    stages: BTreeMap<String, (u64, Stage)>,
-    /// The list as last read under this leadership.
-    pub list: Option<Reading>,
+/// What a controller knows.
+pub struct ControllerState {
+    /// The replicated state.
+    pub control: ControlState,
+    /// For how long this process has known of the orders in it.
+    pub acceptance_clock: AcceptanceClock,
+    /// The proxies, while this controller leads.
+    pub proxies: ProxyRegistry,
+    /// The endpoints as last read under this leadership.
+    pub endpoints: Option<EndpointSnapshot>,
+    /// What waits to be sent to proxies.
+    outbox: ProxyOutbox,
+    /// The configurations in flight to proxies.
+    config_sender: ConfigSender,
+    /// The stages of trials, by service: the rollout's id and its stage.
+    stages: BTreeMap<String, (u64, TrialStage)>,
 }
 
-impl State {
-    fn new(witness: Witness) -> State {
-        State {
-            records: Records::default(),
-            witness,
-            roster: Roster::default(),
-            mouth: proxy_outbox::Mouth::default(),
-            feeds: Feeds::default(),
+impl ControllerState {
+    fn new(acceptance_clock: AcceptanceClock) -> ControllerState {
+        ControllerState {
+            control: ControlState::default(),
+            acceptance_clock,
+            proxies: ProxyRegistry::default(),
+            endpoints: None,
+            outbox: ProxyOutbox::default(),
+            config_sender: ConfigSender::default(),
             stages: BTreeMap::new(),
-            list: None,
+        }
+    }
+
+    /// Returns all that a proxy has to know besides the configuration, in the order in which it is to take it in.
+    fn current_messages(&self) -> Vec<ControllerMessage> {
+        let services = self.control.services.clone().into_iter().collect();
+        let stage = |(service, (id, stage)): (&String, &(u64, TrialStage))| {
+            ControllerMessage::Stage(service.as_str().into(), *id, *stage)
+        };
+        let mut messages = vec![ControllerMessage::Services(services)];
+        messages.extend(self.stages.iter().map(stage));
+        messages.extend(self.all_endpoints().map(ControllerMessage::Endpoints));
+        messages
+    }
+
+    /// Returns all endpoints as last read.
+    fn all_endpoints(&self) -> Option<EndpointUpdate> {
+        let snapshot = self.endpoints.as_ref()?;
+        let age = now().saturating_sub(snapshot.read_at);
+        let aged = |(id, endpoint): (&Arc<str>, &Endpoint)| {
+            let warmup_left = endpoint.warmup_left.saturating_sub(age);
+            (
+                id.clone(),
+                Some(Endpoint {
+                    warmup_left,
+                    ..endpoint.clone()
+                }),
+            )
+        };
+        Some(EndpointUpdate {
+            is_full: true,
+            endpoints: snapshot.endpoints.iter().map(aged).collect(),
+        })
+    }
+
+    /// Tells the proxies what applying a command did.
+    fn announce(&mut self, command: &Command, effect: &Effect) {
+        match effect {
+            Effect::ConfigReplaced => self.send_newest_config(),
+            Effect::ServiceChanged => {
+                let service = command_service(command)
+                    .and_then(|name| self.control.services.get_key_value(name));
+                if let Some((name, service)) = service {
+                    let changed = vec![(name.clone(), service.clone())];
+                    self.broadcast(&ControllerMessage::Services(changed));
+                }
+            }
+            Effect::Duplicate
+            | Effect::Unchanged
+            | Effect::VersionConflict(_)
+            | Effect::RolloutConflict(_)
+            | Effect::Ignored => {}
         }
     }
 }
 
-impl Sorting {
-    pub fn state(&self) -> MutexGuard<'_, State> {
-        self.state
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner)
+/// Returns the service that a command is about.
+fn command_service(command: &Command) -> Option<&String> {
+    match command {
+        Command::ReplaceConfig(_) => None,
+        Command::BeginRolloutV1 { service, .. }
+        | Command::BeginRollout { service, .. }
+        | Command::AdvanceRollout { service, .. }
+        | Command::SetVersion { service, .. } => Some(service),
     }
+}
 
-    /// Reads and checks a configuration that an operator sends.
-    pub fn sound(&self, text: &str) -> Result<Arc<Edition>, Vec<Complaint>> {
-        let mut sent = self
-            .sent
+impl Controller {
+    /// Locks the state.
+    pub fn state(&self) -> MutexGuard<'_, ControllerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Parses and checks a configuration that an operator sends.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with it.
+    pub fn validate(&self, text: &str) -> Result<Arc<GatewayConfig>, Vec<Diagnostic>> {
+        let mut last = self
+            .last_valid_config
             .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
-        let edition = Arc::new(Edition::read_after(&text.into(), sent.as_deref())?);
-        *sent = Some(edition.clone());
-        Ok(edition)
+            .unwrap_or_else(PoisonError::into_inner);
+        let config = Arc::new(GatewayConfig::parse_after(&text.into(), last.as_deref())?);
+        *last = Some(config.clone());
+        Ok(config)
     }
 
-    /// The address of agents among themselves.
-    pub fn inner(&self) -> SocketAddrV4 {
-        SocketAddrV4::new(self.machine.ip, self.machine.inner_ports.0)
+    /// Returns this controller's address among agents.
+    pub fn agent_address(&self) -> SocketAddrV4 {
+        SocketAddrV4::new(
+            self.initial_settings.ip,
+            self.initial_settings.agent_ports.0,
+        )
     }
 
-    /// The inner addresses of the other sorting machines that are known here.
-    fn others(&self) -> Vec<SocketAddrV4> {
-        let seeds = self
-            .machine
-            .seeds
-            .iter()
-            .map(|s| SocketAddrV4::new(*s.ip(), self.machine.inner_ports.0));
-        let mut others: Vec<SocketAddrV4> =
-            self.council.members().into_iter().chain(seeds).collect();
-        others.retain(|other| *other != self.inner());
+    /// Returns the agent addresses of the other controllers that are known here.
+    fn other_controllers(&self) -> Vec<SocketAddrV4> {
+        let port = self.initial_settings.agent_ports.0;
+        let seeds = self.initial_settings.controller_seeds.iter();
+        let seeds = seeds.map(|seed| SocketAddrV4::new(*seed.ip(), port));
+        let mut others: Vec<SocketAddrV4> = self.raft.voters().into_iter().chain(seeds).collect();
+        others.retain(|other| *other != self.agent_address());
         others.sort();
         others.dedup();
         others
     }
 
-    /// Where operators call the machine that has this inner address: ports are alike on all machines.
-    pub fn control_of(&self, inner: SocketAddrV4) -> Option<SocketAddrV4> {
-        let own = self.machine.posts.get("control")?;
-        Some(SocketAddrV4::new(*inner.ip(), own.port()))
+    /// Returns where operators call the controller with this agent address: ports are alike on all machines.
+    pub fn operator_address_of(&self, agent_address: SocketAddrV4) -> Option<SocketAddrV4> {
+        let own = self.initial_settings.listen_addresses.get("control")?;
+        Some(SocketAddrV4::new(*agent_address.ip(), own.port()))
     }
 
-    /// This machine's view of things, for operators.
-    pub fn shown(&self) -> Json {
-        let view = self.council.view();
-        let seats = |seats: &[NodeId]| -> Vec<Json> {
-            seats
-                .iter()
-                .map(|s| jzon::object! { address: s.address.to_string(), life: s.incarnation })
-                .collect()
-        };
+    /// Takes note that this controller leads in this term from now on, or no longer. Earlier sessions end; whoever leads now
+    /// hears from the proxies again.
+    pub fn set_leadership(&self, term: Option<u64>) {
+        let mut state = self.state();
+        if state.proxies.set_leadership(term) {
+            state.close_all_sessions(term);
+            state.stages.clear();
+            state.endpoints = None;
+        }
+    }
+
+    /// Takes over a state that was read from disk, or sent by the leader.
+    pub fn restore(&self, control: ControlState) {
+        let state = &mut *self.state();
+        state.control = control;
+        state
+            .acceptance_clock
+            .on_state_change(now(), &state.control);
+        state.send_newest_config();
+    }
+
+    /// Applies a committed command, and tells the proxies. Returns what it did.
+    pub fn apply(&self, index: u64, command: &Command) -> Effect {
+        let state = &mut *self.state();
+        let effect = state.control.apply(index, command);
+        if matches!(
+            command,
+            Command::BeginRolloutV1 { .. } | Command::BeginRollout { .. }
+        ) {
+            state
+                .acceptance_clock
+                .on_state_change(now(), &state.control);
+        }
+        state.announce(command, &effect);
+        effect
+    }
+
+    /// Returns this controller's state, for operators. Its keys are documented in `docs/gateway/operators.md`.
+    pub fn view(&self) -> Json {
+        let status = self.raft.status();
         let at = now();
         let state = self.state();
-        let counters: Vec<Json> = state
-            .roster
-            .all()
-            .map(|(node, c)| {
-                jzon::object! { counter: node.as_str(), zone: c.zone.as_str(), edition: c.edition,
-                heard_ms_ago: at.saturating_sub(c.heard_at) / 1000, there: !c.away(at) }
-            })
-            .collect();
         let mut services = Json::new_object();
-        for (name, standing) in &state.records.services {
-            let rollout = standing.rollout.as_ref().map_or(Json::Null, |r| {
-                jzon::object! { to: r.to.as_str(), phase: format!("{:?}", r.phase), order: r.order,
-                within_ms: r.within / 1000 }
-            });
-            let shown = jzon::object! { version: standing.version.as_deref(), barred: standing.barred.clone(),
-            rollout: rollout };
-            let _ = services.insert(name, shown);
+        for (name, service) in &state.control.services {
+            let _ = services.insert(name, service_view(service));
         }
-        let contacts: Vec<Json> = view
-            .contacts
-            .iter()
-            .map(|c| {
-                jzon::object! { address: c.id.address.to_string(), matched: c.match_index,
-                votes: c.is_voter, heard_ms_ago: at.saturating_sub(c.heard_at) / 1000 }
-            })
-            .collect();
         jzon::object! {
-            node: self.machine.node.as_str(),
-            role: format!("{:?}", view.role),
-            leads: self.council.leads(),
-            term: view.term,
-            leader: view.leader.map(|l| l.to_string()),
-            own: jzon::object! { address: view.me.address.to_string(), life: view.me.incarnation },
-            voters: seats(&view.voters),
-            learners: seats(&view.learners),
-            contacts: contacts,
-            log: jzon::object! { in_force: view.commit, applied: view.applied, on_disk: view.durable,
-                disk_troubled: view.disk_troubled },
-            edition: state.records.edition.as_ref().map(|k| k.number),
-            telling: state.telling(),
-            appliances: state.list.as_ref().map(|l| l.list.len()),
+            node: self.initial_settings.node.as_str(),
+            role: format!("{:?}", status.role),
+            leads: self.raft.holds_lease(),
+            term: status.term,
+            leader: status.leader.map(|leader| leader.to_string()),
+            own: node_view(&status.id),
+            voters: status.voters.iter().map(node_view).collect::<Vec<_>>(),
+            learners: status.learners.iter().map(node_view).collect::<Vec<_>>(),
+            contacts: status.peers.iter().map(|peer| peer_view(peer, at)).collect::<Vec<_>>(),
+            log: log_view(&status),
+            edition: state.control.config.as_ref().map(|config| config.version),
+            telling: state.transfers_view(),
+            appliances: state.endpoints.as_ref().map(|snapshot| snapshot.endpoints.len()),
             services: services,
-            counters: counters
+            counters: proxies_view(&state.proxies, at)
         }
     }
+}
 
-    /// This machine leads in this term from now on, or no longer. Links of before end; whoever leads now hears from the
-    /// counters anew.
-    pub fn leads_in(&self, term: Option<u64>) {
-        let mut state = self.state();
-        if state.roster.leads_in(term) {
-            state.hang_up(term);
-            state.stages.clear();
-            state.list = None;
-        }
+fn node_view(node: &NodeId) -> Json {
+    jzon::object! { address: node.address.to_string(), life: node.incarnation }
+}
+
+fn peer_view(peer: &PeerStatus, now: Micros) -> Json {
+    jzon::object! {
+        address: peer.id.address.to_string(),
+        matched: peer.match_index,
+        votes: peer.is_voter,
+        heard_ms_ago: now.saturating_sub(peer.heard_at) / 1000
     }
+}
 
-    /// The agreement's state was read from disk, or sent by the leader.
-    pub fn restored(&self, records: Records) {
-        let state = &mut *self.state();
-        state.records = records;
-        state.witness.applied(now(), &state.records);
-        state.feed_newest();
+fn log_view(status: &RaftStatus) -> Json {
+    jzon::object! {
+        in_force: status.commit_index,
+        applied: status.applied_index,
+        on_disk: status.durable_index,
+        disk_troubled: status.is_disk_degraded
     }
+}
 
-    /// A command has been agreed on; what it did.
-    pub fn applied(&self, index: u64, command: &Command) -> Effect {
-        let state = &mut *self.state();
-        let effect = state.records.apply(index, command);
-        let service = match command {
-            Command::Replace(_) => None,
-            Command::Begin { service, .. } | Command::Order { service, .. } => {
-                state.witness.applied(now(), &state.records);
-                Some(service)
-            }
-            Command::Advance { service, .. } | Command::Stands { service, .. } => Some(service),
-        };
-        let down = match &effect {
-            Effect::Edition => {
-                state.feed_newest();
-                None
-            }
-            Effect::Service => service.and_then(|service| {
-                let standing = state.records.services.get(service).cloned();
-                standing.map(|s| Down::Services(vec![(service.clone(), s)]))
-            }),
-            Effect::Again
-            | Effect::Idle
-            | Effect::OtherDocument(_)
-            | Effect::OtherRollout(_)
-            | Effect::None => None,
-        };
-        if let Some(down) = down {
-            state.tell_all(&down);
+fn service_view(service: &ServiceState) -> Json {
+    let rollout = service.rollout.as_ref().map_or(Json::Null, |rollout| {
+        jzon::object! {
+            to: rollout.target_version.as_str(),
+            phase: phase_name(rollout.phase),
+            order: rollout.id,
+            within_ms: rollout.within / 1000
         }
-        effect
+    });
+    jzon::object! {
+        version: service.version.as_deref(),
+        barred: service.rejected_versions.clone(),
+        rollout: rollout
     }
 }
 
-impl State {
-    /// All that a counter has to know besides the edition, in the order in which it is to take it in.
-    fn all(&self) -> Vec<Down> {
-        let mut all = vec![Down::Services(
-            self.records.services.clone().into_iter().collect(),
-        )];
-        all.extend(
-            self.stages
-                .iter()
-                .map(|(s, (order, stage))| Down::Stage(s.as_str().into(), *order, *stage)),
-        );
-        all.extend(self.listing().map(Down::Listing));
-        all
-    }
+fn proxies_view(proxies: &ProxyRegistry, now: Micros) -> Vec<Json> {
+    let proxies = proxies.iter().map(|(node, proxy)| {
+        jzon::object! {
+            counter: node.as_str(),
+            zone: proxy.zone.as_str(),
+            edition: proxy.config_version,
+            heard_ms_ago: now.saturating_sub(proxy.heard_at) / 1000,
+            there: !proxy.is_away(now)
+        }
+    });
+    proxies.collect()
+}
 
-    /// The list as last read, whole.
-    fn listing(&self) -> Option<Listing> {
-        let reading = self.list.as_ref()?;
-        let age = now().saturating_sub(reading.at);
-        let entries = reading.list.iter().map(|(id, entry)| {
-            let cold = entry.cold.saturating_sub(age);
-            (
-                id.clone(),
-                Some(messages::Entry {
-                    cold,
-                    ..entry.clone()
-                }),
-            )
-        });
-        Some(Listing {
-            whole: true,
-            entries: entries.collect(),
-        })
-    }
+/// How one incarnation of the node ended.
+enum IncarnationEnd {
+    /// The platform ends the process.
+    Shutdown,
+    /// The node starts again as a new incarnation.
+    Restart,
 }
 
-/// Serves until SIGTERM, in more than one life where its store can't be read.
-pub async fn run(settings: Held, life: u64) -> std::io::Result<()> {
-    let mut life = life;
-    while live(settings.clone(), life).await? {
-        life = rand::random::<u64>().max(1);
+/// Serves until SIGTERM, as more than one incarnation where the store can't be used.
+///
+/// # Errors
+///
+/// If the settings lack an address or the store's directory, or an address is not to be had.
+pub async fn run(settings: SettingsWatch, incarnation: u64) -> io::Result<()> {
+    let mut incarnation = incarnation;
+    while let IncarnationEnd::Restart = run_incarnation(settings.clone(), incarnation).await? {
+        incarnation = rand::random::<u64>().max(1);
     }
     Ok(())
 }
 
-/// One life. True: another one is to follow.
-async fn live(settings: Held, life: u64) -> std::io::Result<bool> {
-    let machine = Machine::clone(&settings.borrow());
-    let Some(control) = machine.posts.get("control").copied() else {
-        return Err(std::io::Error::other("network.posts: expected control"));
+async fn run_incarnation(settings: SettingsWatch, incarnation: u64) -> io::Result<IncarnationEnd> {
+    let initial_settings = NodeSettings::clone(&settings.borrow());
+    let Some(operator_address) = initial_settings.listen_addresses.get("control").copied() else {
+        return Err(io::Error::other("network.posts: expected control"));
     };
-    let Some(store) = machine.store.clone().map(PathBuf::from) else {
-        return Err(std::io::Error::other(
+    let Some(store_dir) = initial_settings.store_dir.clone().map(PathBuf::from) else {
+        return Err(io::Error::other(
             "self.store_dir: expected a folder for what is agreed on",
         ));
     };
-    let inner = SocketAddrV4::new(machine.ip, machine.inner_ports.0);
-    // Nobody is kept waiting at a door behind which nothing runs yet.
-    let Some((council, driver)) = store_recovery::open(&machine, &store, life).await else {
-        return Ok(false);
+    // Nobody is to wait for an answer while nothing runs yet: addresses are opened after the store.
+    let opened = store_recovery::open(&initial_settings, &store_dir, incarnation).await;
+    let Some((raft, driver)) = opened else {
+        return Ok(IncarnationEnd::Shutdown);
     };
-    let door = net::listen(control)?;
-    let inner = net::listen(inner)?;
-    let state = State::new(Witness::new(now(), clock::day()));
-    let sorting = Arc::new(Sorting {
-        machine,
+    let acceptance_clock = AcceptanceClock::new(now(), clock::time_of_day());
+    let controller = Arc::new(Controller {
+        initial_settings,
         settings,
-        state: Mutex::new(state),
-        council,
-        sent: Mutex::default(),
+        raft,
+        state: Mutex::new(ControllerState::new(acceptance_clock)),
+        last_valid_config: Mutex::default(),
     });
-    let mut driving = tokio::spawn(driver.run(sorting.clone()));
-    let others = [
-        tokio::spawn(proxy_sessions::run(sorting.clone(), inner)),
-        tokio::spawn(operator_api::run(sorting.clone(), door)),
-        tokio::spawn(endpoint_discovery::run(sorting.clone())),
-        tokio::spawn(rollout_controller::run(sorting.clone())),
+    serve(controller, driver, operator_address, store_dir).await
+}
+
+async fn serve(
+    controller: Arc<Controller>,
+    driver: RaftDriver,
+    operator_address: SocketAddrV4,
+    store_dir: PathBuf,
+) -> io::Result<IncarnationEnd> {
+    let operators = net::listen(operator_address)?;
+    let agents = net::listen(controller.agent_address())?;
+    let mut driving = tokio::spawn(driver.run(controller.clone()));
+    let tasks = [
+        tokio::spawn(proxy_sessions::run(controller.clone(), agents)),
+        tokio::spawn(operator_api::run(controller.clone(), operators)),
+        tokio::spawn(endpoint_discovery::run(controller.clone())),
+        tokio::spawn(rollout_controller::run(controller.clone())),
     ];
     tokio::select! {
         () = crate::signals::terminated() => {}
-        stop = &mut driving => {
-            for other in others {
-                other.abort();
-                let _ = other.await; // its door is free again, for the next life
-            }
-            let stop = stop.map_err(|broken| std::io::Error::other(format!("the agreement broke: {broken}")))?;
-            let others = sorting.others();
-            return Ok(store_recovery::begin_anew(&stop, &store, &others).await);
+        reason = &mut driving => {
+            abort_all(tasks).await;
+            let reason = reason.map_err(|panic| io::Error::other(format!("the Raft driver broke: {panic}")))?;
+            let others = controller.other_controllers();
+            let may_restart = store_recovery::recover(&reason, &store_dir, &others).await;
+            return Ok(if may_restart { IncarnationEnd::Restart } else { IncarnationEnd::Shutdown });
         }
     }
-    let begun = now();
-    tracing::info!(target: "sorting", "Leaving.");
-    sorting
-        .council
-        .leave(begun + sorting.machine.terms.grace.saturating_sub(GRACE_LEFT))
+    leave(&controller).await;
+    Ok(IncarnationEnd::Shutdown)
+}
+
+/// Aborts tasks, and waits until they have released their addresses, for the next incarnation.
+async fn abort_all(tasks: [JoinHandle<()>; 4]) {
+    for task in tasks {
+        task.abort();
+        let _ = task.await;
+    }
+}
+
+/// Leaves the cluster in order, within `grace`.
+async fn leave(controller: &Controller) {
+    let started_at = now();
+    tracing::info!(target: "controller", "Shutting down.");
+    let grace = controller.initial_settings.guarantees.grace;
+    controller
+        .raft
+        .leave(started_at + grace.saturating_sub(GRACE_RESERVE))
         .await;
-    tokio::time::sleep(crate::clock::span(GIVE_WAY)).await;
-    let handed_on = sorting.council.view().left;
-    tracing::info!(target: "sorting", "Left after {} ms{}.", (now() - begun) / 1000,
-        if handed_on { "" } else { ", still needed" });
-    Ok(false)
+    clock::sleep(ANSWER_PENDING_CALLS).await;
+    let note = if controller.raft.status().has_left {
+        ""
+    } else {
+        ", still needed"
+    };
+    let elapsed_ms = (now() - started_at) / 1000;
+    tracing::info!(target: "controller", "Shut down after {elapsed_ms} ms{note}.");
 }
--- a/crates/gateway/src/controller/operator_api.rs
+++ b/crates/gateway/src/controller/operator_api.rs
@@ -1,52 +1,59 @@
-//! The operators' calls.
+//! The operators' API: configurations and rollouts, sent and read.
 
-use super::leader_redirect::{way, Way};
-use super::raft_driver::Refusal;
-use super::Sorting;
-use crate::clock::{day, now, span, Micros};
-use crate::net::{self, Wire};
+use super::leader_redirect::{target, Target};
+use super::raft_driver::RequestError;
+use super::Controller;
+use crate::clock::{duration, now, sleep, time_of_day, Micros};
+use crate::net::{self, HyperIo};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONTENT_TYPE, LOCATION};
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
+use jzon::JsonValue as Json;
+use magpieline_config::diagnostic::Diagnostic;
 use magpieline_config::durations;
-use magpieline_config::place::Complaint;
-use magpieline_control_plane::deduplication::Digest;
-use magpieline_control_plane::state_machine::{Command, Effect, Kept, Phase};
+use magpieline_control_plane::deduplication::{Arrival, Digest, OrderContent};
+use magpieline_control_plane::state_machine::{Command, Effect, Phase, StoredConfig};
 use std::convert::Infallible;
 use std::sync::Arc;
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// Longest configuration that is taken.
-const LONGEST: usize = 32 << 20;
-/// Callers go to another machine after a second of silence; until then a leader may be found.
-const PATIENCE: Micros = 800_000;
-/// Between two tries to have a command agreed on, where nothing was done at the first.
-const AGAIN: Micros = 20_000;
+/// Longest configuration that is accepted, in bytes.
+const MAX_BODY_BYTES: usize = 32 << 20;
+/// Callers go to another controller after a second of silence; until then a leader may be found.
+const ANSWER_TIMEOUT: Micros = 800_000;
+/// Between two attempts to have a command committed, where nothing was done at the first.
+const RETRY_INTERVAL: Micros = 20_000;
+/// Between two attempts to confirm that this controller leads.
+const CONFIRM_INTERVAL: Micros = 5_000;
+/// After a connection that could not be accepted.
+const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
+/// The path of all calls.
+const PATH: &str = "/v1/rpc";
 
 type Reply = Response<Full<Bytes>>;
 
-pub async fn run(sorting: Arc<Sorting>, door: TcpListener) {
+/// Serves operators until the task is aborted.
+pub async fn run(controller: Arc<Controller>, listener: TcpListener) {
     loop {
-        let Ok((stream, _)) = door.accept().await else {
-            tokio::time::sleep(span(20_000)).await;
+        let Ok((stream, _)) = listener.accept().await else {
+            sleep(ACCEPT_RETRY_INTERVAL).await;
             continue;
         };
-        if net::prepare(&stream).is_err() {
+        if net::configure_stream(&stream).is_err() {
             continue;
         }
-        let sorting = sorting.clone();
+        let controller = controller.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let sorting = sorting.clone();
-                async move { Ok::<_, Infallible>(answer(&sorting, request).await) }
+                let controller = controller.clone();
+                async move { Ok::<_, Infallible>(answer(&controller, request).await) }
             });
-            let _ = hyper::server::conn::http1::Builder::new()
-                .serve_connection(Wire(stream), service)
-                .await;
+            let connection = hyper::server::conn::http1::Builder::new();
+            let _ = connection.serve_connection(HyperIo(stream), service).await;
         });
     }
 }
@@ -61,36 +68,57 @@
 }
 
 /// A refusal, with all that is wrong.
-fn fault(status: StatusCode, wrong: &[Complaint]) -> Reply {
-    let list: Vec<jzon::JsonValue> = wrong
-        .iter()
-        .map(|c| {
-            jzon::object! { place: c.place.as_str(), found: c.found.as_str(), expected: c.expected.as_str() }
-        })
-        .collect();
+fn refusal(status: StatusCode, diagnostics: &[Diagnostic]) -> Reply {
+    let entry = |diagnostic: &Diagnostic| {
+        jzon::object! {
+            place: diagnostic.path.as_str(),
+            found: diagnostic.found.as_str(),
+            expected: diagnostic.expected.as_str()
+        }
+    };
+    let list: Vec<Json> = diagnostics.iter().map(entry).collect();
     reply(status, jzon::object! { fault: list }.dump())
 }
 
-fn plain(status: StatusCode, place: &str, found: &str, expected: &str) -> Reply {
-    fault(status, &[Complaint::new(place, found, expected)])
+fn refuse(status: StatusCode, path: &str, found: &str, expected: &str) -> Reply {
+    refusal(status, &[Diagnostic::new(path, found, expected)])
+}
+
+fn bad_request(path: &str, found: &str, expected: &str) -> Reply {
+    refuse(StatusCode::BAD_REQUEST, path, found, expected)
+}
+
+/// Asks the caller to come back; nothing is known to have been done.
+fn unavailable(path: &str, found: &str, expected: &str) -> Reply {
+    refuse(StatusCode::SERVICE_UNAVAILABLE, path, found, expected)
+}
+
+fn no_leader() -> Reply {
+    unavailable("leader", "none", "one; ask again")
+}
+
+fn not_committed_in_time() -> Reply {
+    unavailable("agreement", "none in time", "ask again")
+}
+
+fn outcome_unknown() -> Reply {
+    unavailable("agreement", "nothing known of it", "ask again")
 }
 
-/// One value of the query.
-fn asked<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    query
-        .split('&')
-        .filter_map(|pair| pair.split_once('='))
-        .find(|(n, _)| *n == name)
-        .map(|(_, value)| value)
+/// Returns one value of the query.
+fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+    let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-async fn answer(sorting: &Sorting, request: Request<Incoming>) -> Reply {
+/// Answers one call.
+async fn answer(controller: &Controller, request: Request<Incoming>) -> Reply {
     let (head, body) = request.into_parts();
-    if head.uri.path() != "/v1/rpc" {
-        return plain(StatusCode::NOT_FOUND, "path", head.uri.path(), "/v1/rpc");
+    if head.uri.path() != PATH {
+        return refuse(StatusCode::NOT_FOUND, "path", head.uri.path(), PATH);
     }
     if head.method != Method::POST {
-        return plain(
+        return refuse(
             StatusCode::METHOD_NOT_ALLOWED,
             "method",
             head.method.as_str(),
@@ -98,176 +126,167 @@
         );
     }
     let query = head.uri.query().unwrap_or("").to_owned();
-    let body = match Limited::new(body, LONGEST).collect().await {
-        Ok(body) => body.to_bytes(),
-        Err(e) if e.is::<LengthLimitError>() => {
-            return plain(
-                StatusCode::PAYLOAD_TOO_LARGE,
-                "body",
-                "more",
-                "at most 32 MB",
-            );
-        }
-        // It may have been cut on its way: an order that is to be sent again is not refused for good.
-        Err(_) => {
-            return plain(
-                StatusCode::REQUEST_TIMEOUT,
-                "body",
-                "a part",
-                "all of it; send it again",
-            )
-        }
+    let body = match read_body(body).await {
+        Ok(body) => body,
+        Err(reply) => return reply,
     };
-    let again = format!("/v1/rpc?{query}");
-    match asked(&query, "call") {
-        Some("config.replace") => replace(sorting, &body, &again).await,
-        Some("config.read") => read(sorting, &again).await,
-        Some("editions.begin") => begin(sorting, &body, &again).await,
-        Some("editions.read") => state(sorting, asked(&query, "of").unwrap_or(""), &again).await,
+    // Where the leader is to be asked instead.
+    let path = format!("{PATH}?{query}");
+    match query_value(&query, "call") {
+        Some("config.replace") => replace_config(controller, &body, &path).await,
+        Some("config.read") => read_config(controller, &path).await,
+        Some("editions.begin") => begin_rollout(controller, &body, &path).await,
+        Some("editions.read") => {
+            let service = query_value(&query, "of").unwrap_or("");
+            read_rollout(controller, service, &path).await
+        }
         found => {
             let expected = "config.replace, config.read, editions.begin or editions.read";
-            plain(
-                StatusCode::BAD_REQUEST,
-                "call",
-                found.unwrap_or("nothing"),
-                expected,
-            )
+            bad_request("call", found.unwrap_or("nothing"), expected)
         }
     }
 }
 
-fn nobody() -> Reply {
-    plain(
-        StatusCode::SERVICE_UNAVAILABLE,
-        "leader",
-        "none",
-        "one; ask again",
-    )
+async fn read_body(body: Incoming) -> Result<Bytes, Reply> {
+    match Limited::new(body, MAX_BODY_BYTES).collect().await {
+        Ok(body) => Ok(body.to_bytes()),
+        Err(error) if error.is::<LengthLimitError>() => Err(refuse(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "body",
+            "more",
+            "at most 32 MB",
+        )),
+        // It may have been cut on its way: an order that is to be sent again is not refused for good.
+        Err(_) => Err(refuse(
+            StatusCode::REQUEST_TIMEOUT,
+            "body",
+            "a part",
+            "all of it; send it again",
+        )),
+    }
 }
 
-/// Sends a caller to the leader, or asks it to come back.
-async fn elsewhere(sorting: &Sorting, path: &str, until: Micros) -> Option<Reply> {
+/// Sends a caller to the leader, or asks it to come back; none if this controller answers.
+async fn redirect(controller: &Controller, path: &str, deadline: Micros) -> Option<Reply> {
     loop {
-        match way(&sorting.council.sight(), now(), until) {
-            Way::Here => return None,
-            Way::There(leader) => {
-                let control = sorting
-                    .control_of(leader)
-                    .map(|control| format!("http://{control}{path}"));
-                let location = control.and_then(|to| HeaderValue::from_str(&to).ok());
-                return Some(location.map_or_else(nobody, |location| {
-                    let mut moved = reply(StatusCode::TEMPORARY_REDIRECT, "{}");
-                    moved.headers_mut().insert(LOCATION, location);
-                    moved
-                }));
-            }
-            Way::Nobody => return Some(nobody()),
-            Way::Wait(then) => sorting.council.changed(then).await,
+        match target(&controller.raft.leader_view(), now(), deadline) {
+            Target::Local => return None,
+            Target::Redirect(leader) => return Some(redirect_to(controller, leader, path)),
+            Target::Unavailable => return Some(no_leader()),
+            Target::Wait(then) => controller.raft.leader_changed(then).await,
         }
     }
 }
 
+fn redirect_to(controller: &Controller, leader: std::net::SocketAddrV4, path: &str) -> Reply {
+    let location = controller
+        .operator_address_of(leader)
+        .map(|address| format!("http://{address}{path}"));
+    let Some(location) = location.and_then(|location| HeaderValue::from_str(&location).ok()) else {
+        return no_leader();
+    };
+    let mut redirect = reply(StatusCode::TEMPORARY_REDIRECT, "{}");
+    redirect.headers_mut().insert(LOCATION, location);
+    redirect
+}
+
 /// What has to be done for an order, as far as the leader knows now.
-enum Look {
-    /// It was taken, or refused, before; that stays so.
-    Settled(Effect),
+enum Plan {
+    /// It was accepted, or refused, before; that stays so.
+    Known(Effect),
+    /// It is to be proposed.
     Propose(Command),
 }
 
-/// What became of an order: what applying its command did, at its own place in the log, or what is settled, once a
-/// majority has said that this machine still leads. Otherwise the answer for a call whose order may be in force or not.
-async fn decide(
-    sorting: &Sorting,
+/// Returns what became of an order: what applying its command did, at its own position in the log, or what was known before, once
+/// a majority has confirmed that this controller still leads.
+///
+/// # Errors
+///
+/// The reply to a call whose order may be committed or not.
+async fn commit(
+    controller: &Controller,
     path: &str,
-    look: impl Fn(&Sorting) -> Look,
+    plan: impl Fn(&Controller) -> Plan,
 ) -> Result<Effect, Reply> {
-    let until = now() + PATIENCE;
+    let deadline = now() + ANSWER_TIMEOUT;
     loop {
-        if let Some(reply) = elsewhere(sorting, path, until).await {
+        if let Some(reply) = redirect(controller, path, deadline).await {
             return Err(reply);
         }
-        let left = span(until.saturating_sub(now()));
-        let decided = async {
-            match look(sorting) {
-                Look::Settled(effect) => sorting.council.barrier().await.map(|()| effect),
-                Look::Propose(command) => sorting.council.propose(&command).await,
-            }
-        };
-        match timeout(left, decided).await {
+        let left = duration(deadline.saturating_sub(now()));
+        match timeout(left, carry_out(controller, plan(controller))).await {
             Ok(Ok(effect)) => return Ok(effect),
             // Nothing was done. Who leads now is asked again.
-            Ok(Err(Refusal::NotNow)) if now() + AGAIN < until => {
-                tokio::time::sleep(span(AGAIN)).await
-            }
-            Ok(Err(_)) | Err(_) => {
-                return Err(plain(
-                    StatusCode::SERVICE_UNAVAILABLE,
-                    "agreement",
-                    "none in time",
-                    "ask again",
-                ))
+            Ok(Err(RequestError::NotAccepted)) if now() + RETRY_INTERVAL < deadline => {
+                sleep(RETRY_INTERVAL).await;
             }
+            Ok(Err(_)) | Err(_) => return Err(not_committed_in_time()),
         }
     }
 }
 
-async fn replace(sorting: &Sorting, body: &Bytes, path: &str) -> Reply {
+async fn carry_out(controller: &Controller, plan: Plan) -> Result<Effect, RequestError> {
+    match plan {
+        Plan::Known(effect) => controller.raft.read_barrier().await.map(|()| effect),
+        Plan::Propose(command) => controller.raft.propose(&command).await,
+    }
+}
+
+async fn replace_config(controller: &Controller, body: &Bytes, path: &str) -> Reply {
     let Ok(text) = std::str::from_utf8(body) else {
-        return plain(
-            StatusCode::BAD_REQUEST,
-            "document",
-            "bytes that are no text",
-            "JSON, whole",
-        );
+        return bad_request("document", "bytes that are no text", "JSON, whole");
     };
-    let edition = match sorting.sound(text) {
-        Ok(edition) => edition,
-        Err(wrong) => {
-            tracing::warn!(target: "control", "A configuration was refused: {}.", wrong[0]);
-            return fault(StatusCode::BAD_REQUEST, &wrong);
+    let config = match controller.validate(text) {
+        Ok(config) => config,
+        Err(diagnostics) => {
+            tracing::warn!(target: "operator_api", "A configuration was refused: {}.", diagnostics[0]);
+            return refusal(StatusCode::BAD_REQUEST, &diagnostics);
         }
     };
-    let (number, text) = (edition.number, Arc::<str>::from(text));
+    let (version, text) = (config.version, Arc::<str>::from(text));
     let digest = Digest::of(&text);
-    let look = |sorting: &Sorting| match sorting.state().records.settled(number, &digest) {
-        Some(effect) => Look::Settled(effect),
-        None => Look::Propose(Command::Replace(Kept {
-            number,
+    let plan = |controller: &Controller| match controller
+        .state()
+        .control
+        .known_outcome(version, &digest)
+    {
+        Some(effect) => Plan::Known(effect),
+        None => Plan::Propose(Command::ReplaceConfig(StoredConfig {
+            version,
             text: text.clone(),
         })),
     };
-    let effect = match decide(sorting, path, look).await {
+    let effect = match commit(controller, path, plan).await {
         Ok(effect) => effect,
         Err(reply) => return reply,
     };
     match &effect {
-        Effect::OtherDocument(known) => {
-            tracing::warn!(target: "control", "Edition {number} was refused: another document has its number.");
-            let found = format!("{number} for a document of sha256 {digest}");
+        Effect::VersionConflict(known) => {
+            tracing::warn!(
+                target: "operator_api",
+                "Configuration {version} was refused: another document has its version."
+            );
+            let found = format!("{version} for a document of sha256 {digest}");
             let expected =
                 format!("the one of sha256 {known} under this number, or a higher number");
-            plain(StatusCode::CONFLICT, "edition", &found, &expected)
+            refuse(StatusCode::CONFLICT, "edition", &found, &expected)
         }
-        taken if taken.is_taken() => {
-            tracing::info!(target: "control", "Edition {number} was acknowledged: {taken:?}.");
-            reply(StatusCode::OK, jzon::object! { edition: number }.dump())
+        accepted if accepted.is_accepted() => {
+            tracing::info!(target: "operator_api", "Configuration {version} acknowledged: {accepted:?}.");
+            reply(StatusCode::OK, jzon::object! { edition: version }.dump())
         }
-        _ => plain(
-            StatusCode::SERVICE_UNAVAILABLE,
-            "agreement",
-            "nothing known of it",
-            "ask again",
-        ),
+        _ => outcome_unknown(),
     }
 }
 
-async fn read(sorting: &Sorting, path: &str) -> Reply {
-    if let Some(reply) = confirmed(sorting, path).await {
+async fn read_config(controller: &Controller, path: &str) -> Reply {
+    if let Some(reply) = confirm_leadership(controller, path).await {
         return reply;
     }
-    match sorting.state().records.edition.clone() {
-        Some(kept) => reply(StatusCode::OK, Bytes::from(kept.text.to_string())),
-        None => plain(
+    match controller.state().control.config.clone() {
+        Some(config) => reply(StatusCode::OK, Bytes::from(config.text.to_string())),
+        None => refuse(
             StatusCode::NOT_FOUND,
             "edition",
             "none yet",
@@ -276,123 +295,142 @@
     }
 }
 
-/// Makes sure that what is read here is the newest; the answer where it can't be.
-async fn confirmed(sorting: &Sorting, path: &str) -> Option<Reply> {
-    let until = now() + PATIENCE;
+/// Makes sure that what is read here is the newest; the reply where that can't be.
+async fn confirm_leadership(controller: &Controller, path: &str) -> Option<Reply> {
+    let deadline = now() + ANSWER_TIMEOUT;
     loop {
-        if let Some(reply) = elsewhere(sorting, path, until).await {
+        if let Some(reply) = redirect(controller, path, deadline).await {
             return Some(reply);
         }
-        if let Ok(Ok(())) =
-            timeout(span(until.saturating_sub(now())), sorting.council.barrier()).await
-        {
+        let left = duration(deadline.saturating_sub(now()));
+        if let Ok(Ok(())) = timeout(left, controller.raft.read_barrier()).await {
             return None;
         }
-        if now() >= until {
-            return Some(plain(
-                StatusCode::SERVICE_UNAVAILABLE,
-                "agreement",
-                "none in time",
-                "ask again",
-            ));
+        if now() >= deadline {
+            return Some(not_committed_in_time());
         }
-        tokio::time::sleep(span(5_000)).await;
+        sleep(CONFIRM_INTERVAL).await;
     }
 }
 
-async fn begin(sorting: &Sorting, body: &Bytes, path: &str) -> Reply {
-    let order = std::str::from_utf8(body)
-        .ok()
-        .and_then(|text| jzon::parse(text).ok());
-    let Some(order) = order.filter(|o| o.is_object()) else {
-        return plain(StatusCode::BAD_REQUEST, "document", "no JSON", "an object");
-    };
-    let (service, to) = (order["service"].as_str(), order["to_edition"].as_str());
-    let Some(service) = service.filter(|s| !s.is_empty()) else {
-        return plain(StatusCode::BAD_REQUEST, "service", "nothing", "a text");
-    };
-    let Some(to) = to.filter(|t| !t.is_empty()) else {
-        return plain(StatusCode::BAD_REQUEST, "to_edition", "nothing", "a text");
-    };
-    let Some(within) = order["within"]
-        .as_str()
-        .and_then(durations::read)
-        .filter(|w| *w > 0)
-    else {
-        let found = order["within"].dump();
-        return plain(
-            StatusCode::BAD_REQUEST,
-            "within",
-            &found,
-            "a time above 0 such as 12s",
-        );
+/// A rollout order as its caller wrote it.
+struct RolloutOrder {
+    service: String,
+    target_version: String,
+    within: Micros,
+}
+
+impl RolloutOrder {
+    fn parse(body: &Bytes) -> Result<RolloutOrder, Reply> {
+        let order = std::str::from_utf8(body)
+            .ok()
+            .and_then(|text| jzon::parse(text).ok());
+        let Some(order) = order.filter(Json::is_object) else {
+            return Err(bad_request("document", "no JSON", "an object"));
+        };
+        let text = |name: &str| {
+            let value = order[name].as_str().filter(|value| !value.is_empty());
+            value
+                .map(str::to_owned)
+                .ok_or_else(|| bad_request(name, "nothing", "a text"))
+        };
+        let service = text("service")?;
+        let target_version = text("to_edition")?;
+        let within = order["within"]
+            .as_str()
+            .and_then(durations::parse)
+            .filter(|within| *within > 0);
+        let Some(within) = within else {
+            let found = order["within"].dump();
+            return Err(bad_request("within", &found, "a time above 0 such as 12s"));
+        };
+        Ok(RolloutOrder {
+            service,
+            target_version,
+            within,
+        })
+    }
+
+    fn content(&self) -> OrderContent<'_> {
+        OrderContent {
+            service: &self.service,
+            target_version: &self.target_version,
+            within: self.within,
+        }
+    }
+}
+
+async fn begin_rollout(controller: &Controller, body: &Bytes, path: &str) -> Reply {
+    let order = match RolloutOrder::parse(body) {
+        Ok(order) => order,
+        Err(reply) => return reply,
     };
-    // An order may have lain in a frozen machine until long after its time, and one that thaws doesn't lead: so only a
-    // machine that leads when it comes takes it.
-    if !sorting.council.leads() {
-        let moved = elsewhere(sorting, path, now() + PATIENCE).await;
-        return moved.unwrap_or_else(|| {
-            plain(
-                StatusCode::SERVICE_UNAVAILABLE,
-                "leader",
-                "a new one",
-                "ask again",
-            )
-        });
+    // An order may have lain in a suspended process until long after its time, and one that resumes doesn't lead: so only a
+    // controller that leads when it arrives accepts it.
+    if !controller.raft.holds_lease() {
+        let elsewhere = redirect(controller, path, now() + ANSWER_TIMEOUT).await;
+        return elsewhere.unwrap_or_else(|| unavailable("leader", "a new one", "ask again"));
     }
-    // Copies are told from new orders by when they came, not by how long an agreement took.
-    let (came, receipt) = ((now(), day()), sorting.settings.borrow().terms.receipt);
-    let look = |sorting: &Sorting| {
-        let state = sorting.state();
-        let proposal = state
-            .witness
-            .look(&state.records, came, (service, to, within), receipt);
-        proposal.map_or(Look::Settled(Effect::Again), Look::Propose)
+    // Copies are told from new orders by when they arrived, not by how long a commit took.
+    let arrival = Arrival {
+        at: now(),
+        time_of_day: time_of_day(),
     };
-    let effect = match decide(sorting, path, look).await {
+    let receipt = controller.settings.borrow().guarantees.receipt;
+    let plan = |controller: &Controller| {
+        let state = controller.state();
+        let proposal =
+            state
+                .acceptance_clock
+                .propose(&state.control, arrival, order.content(), receipt);
+        proposal.map_or(Plan::Known(Effect::Duplicate), Plan::Propose)
+    };
+    let effect = match commit(controller, path, plan).await {
         Ok(effect) => effect,
         Err(reply) => return reply,
     };
     match &effect {
-        Effect::OtherRollout(other) => {
+        Effect::RolloutConflict(other) => {
+            let within = durations::format(other.within);
             let found = format!(
-                "a rollout to {} within {} under way",
-                other.to,
-                durations::write(other.within)
+                "a rollout to {} within {within} under way",
+                other.target_version
             );
-            plain(
+            refuse(
                 StatusCode::CONFLICT,
                 "service",
                 &found,
                 "none, or the same order again",
             )
         }
-        taken if taken.is_taken() => {
-            tracing::info!(target: "control", "Rollout of {service} to {to} was acknowledged: {taken:?}.");
+        accepted if accepted.is_accepted() => {
+            let RolloutOrder {
+                service,
+                target_version,
+                ..
+            } = &order;
+            tracing::info!(
+                target: "operator_api",
+                "Rollout of {service} to {target_version} acknowledged: {accepted:?}."
+            );
             reply(StatusCode::OK, "{}")
         }
-        _ => plain(
-            StatusCode::SERVICE_UNAVAILABLE,
-            "agreement",
-            "nothing known of it",
-            "ask again",
-        ),
+        _ => outcome_unknown(),
     }
 }
 
-async fn state(sorting: &Sorting, service: &str, path: &str) -> Reply {
-    if let Some(reply) = confirmed(sorting, path).await {
+async fn read_rollout(controller: &Controller, service: &str, path: &str) -> Reply {
+    if let Some(reply) = confirm_leadership(controller, path).await {
         return reply;
     }
-    let standing = sorting
+    let rollout = controller
         .state()
-        .records
+        .control
         .services
         .get(service)
-        .cloned()
-        .unwrap_or_default();
-    let Some(rollout) = standing.rollout else {
-        return plain(
+        .and_then(|service| service.rollout.clone());
+    let Some(rollout) = rollout else {
+        return refuse(
             StatusCode::NOT_FOUND,
             "of",
             service,
@@ -400,12 +438,12 @@
         );
     };
     let state = match rollout.phase {
-        Phase::Trial | Phase::Moving => "in_transit",
-        Phase::Delivered => "delivered",
-        Phase::Returned => "returned",
+        Phase::Trial | Phase::Promoting => "in_transit",
+        Phase::Completed => "delivered",
+        Phase::RolledBack => "returned",
     };
     reply(
         StatusCode::OK,
-        jzon::object! { state: state, to_edition: rollout.to }.dump(),
+        jzon::object! { state: state, to_edition: rollout.target_version }.dump(),
     )
 }
--- a/crates/gateway/src/controller/proxy_outbox.rs
+++ b/crates/gateway/src/controller/proxy_outbox.rs
@@ -1,195 +1,221 @@
-//! What counters that hold on to this machine are told, as frames that wait for their links.
+//! What is sent to proxies in their sessions: frames that wait for their connections.
 
-use super::State;
+use super::ControllerState;
 use crate::clock::now;
 use bytes::Bytes;
 use jzon::JsonValue as Json;
 use magpieline_control_plane::config_sender::{Action, Event};
-use magpieline_control_plane::messages::{self, Down, Fenced};
+use magpieline_control_plane::messages::{encode_frame, ControllerMessage, Fenced};
 use magpieline_control_plane::Micros;
 use std::collections::HashMap;
 use tokio::sync::{mpsc, oneshot};
 
-/// Frames that may wait for one counter; one that takes no more is let go, and comes again.
-const MOST_WAITING: usize = 512;
+/// Frames that may wait for one proxy; the session of one that accepts no more is closed, and it comes again.
+const MAX_QUEUED_FRAMES: usize = 512;
 
-/// Counters' links, while this machine leads.
+/// The proxies' sessions, while this controller leads.
 #[derive(Default)]
-pub struct Mouth {
-    links: HashMap<u64, Link>,
-    next_link: u64,
-    /// Bytes said to all counters together: parts of editions, and all else.
-    editions: u64,
-    words: u64,
+pub struct ProxyOutbox {
+    sessions: HashMap<u64, Session>,
+    last_session: u64,
+    /// Bytes sent to all proxies together: chunks of configurations, and everything else.
+    config_bytes: u64,
+    other_bytes: u64,
 }
 
-struct Link {
-    to: mpsc::Sender<Bytes>,
-    /// Said once the counter has all that was agreed on before it came.
+struct Session {
+    frames: mpsc::Sender<Bytes>,
+    /// Sent once the proxy has all that was committed before it came.
     welcome: Option<Bytes>,
-    /// Dropped with the link.
-    _held: oneshot::Sender<()>,
+    /// Dropped with the session.
+    _open: oneshot::Sender<()>,
 }
 
-/// What waits to be written to a counter.
-pub struct Queue {
-    pub waiting: mpsc::Receiver<Bytes>,
-    /// Comes when the link ends: what still waits then is not said any more.
-    pub ended: oneshot::Receiver<()>,
+/// The frames that wait to be written to a proxy.
+pub struct SessionQueue {
+    /// The frames.
+    pub frames: mpsc::Receiver<Bytes>,
+    /// Completes when the session is closed: frames that still wait then are not sent any more.
+    pub closed: oneshot::Receiver<()>,
 }
 
-impl State {
-    /// A counter has come: its link, and the frames that wait for it.
-    pub fn open(&mut self) -> (u64, Queue) {
-        let (to, waiting) = mpsc::channel(MOST_WAITING);
-        let (held, ended) = oneshot::channel();
-        self.mouth.next_link += 1;
-        let link = self.mouth.next_link;
-        self.mouth.links.insert(
-            link,
-            Link {
-                to,
+impl ControllerState {
+    /// Opens a session for a proxy that has come.
+    pub fn open_session(&mut self) -> (u64, SessionQueue) {
+        let (sender, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let (open, closed) = oneshot::channel();
+        self.outbox.last_session += 1;
+        let session = self.outbox.last_session;
+        self.outbox.sessions.insert(
+            session,
+            Session {
+                frames: sender,
                 welcome: None,
-                _held: held,
+                _open: open,
             },
         );
-        (link, Queue { waiting, ended })
+        (session, SessionQueue { frames, closed })
     }
 
-    /// It has been told all but the edition, where it holds another one than the newest: that follows, and the welcome
-    /// once it is in force.
-    pub fn begin(&mut self, link: u64, held: u64, welcome: &Down) {
+    /// Begins to send configurations to a proxy that has been sent everything else. `config_version` is the version that it has;
+    /// a newer one follows, and the welcome once that is in force.
+    pub fn begin_config_transfer(
+        &mut self,
+        session: u64,
+        config_version: u64,
+        welcome: &ControllerMessage,
+    ) {
         let frame = self.fenced(welcome);
-        if let Some(link) = self.mouth.links.get_mut(&link) {
-            link.welcome = Some(frame);
+        if let Some(session) = self.outbox.sessions.get_mut(&session) {
+            session.welcome = Some(frame);
         }
-        self.feed(Event::Opened { link, held });
+        self.on_config_event(Event::Opened {
+            session,
+            version: config_version,
+        });
     }
 
-    /// Tells one counter.
-    pub fn tell(&mut self, link: u64, down: &Down) {
-        let frame = self.fenced(down);
-        self.mouth.words += self.say(link, frame);
+    /// Sends a message to one proxy.
+    pub fn send(&mut self, session: u64, message: &ControllerMessage) {
+        let frame = self.fenced(message);
+        self.outbox.other_bytes += self.enqueue(session, frame);
     }
 
-    /// A word of the leadership that holds all links.
-    fn fenced(&self, word: &Down) -> Bytes {
-        // Without one there is no link.
-        let term = self.roster.term().unwrap_or(0);
-        messages::frame(&Fenced { term, word }).into()
+    /// Encodes a message with the term of the leadership that holds all sessions.
+    fn fenced(&self, message: &ControllerMessage) -> Bytes {
+        // Without a term there is no session.
+        let term = self.proxies.term().unwrap_or(0);
+        encode_frame(&Fenced { term, message }).into()
     }
 
-    /// A sign of life to all counters.
-    pub fn beat(&mut self) {
-        let counters = self.roster.count(now());
-        let edition = self.records.edition.as_ref().map_or(0, |k| k.number);
-        let asked: Vec<(u64, Micros)> = self.roster.asked().collect();
-        for (link, asked) in asked {
-            self.tell(
-                link,
-                &Down::Beat {
-                    counters,
-                    asked,
-                    edition,
+    /// Sends a heartbeat to all proxies.
+    pub fn send_heartbeats(&mut self) {
+        let proxies = self.proxies.count(now());
+        let config_version = self
+            .control
+            .config
+            .as_ref()
+            .map_or(0, |config| config.version);
+        let reports: Vec<(u64, Micros)> = self.proxies.report_times().collect();
+        for (session, confirmed_at) in reports {
+            self.send(
+                session,
+                &ControllerMessage::Heartbeat {
+                    proxies,
+                    confirmed_at,
+                    config_version,
                 },
             );
         }
     }
 
-    /// Tells all counters.
-    pub fn tell_all(&mut self, down: &Down) {
-        if self.mouth.links.is_empty() {
+    /// Sends a message to all proxies.
+    pub fn broadcast(&mut self, message: &ControllerMessage) {
+        if self.outbox.sessions.is_empty() {
             return;
         }
-        let frame = self.fenced(down);
-        let links: Vec<u64> = self.mouth.links.keys().copied().collect();
-        for link in links {
-            self.mouth.words += self.say(link, frame.clone());
+        let frame = self.fenced(message);
+        let sessions: Vec<u64> = self.outbox.sessions.keys().copied().collect();
+        for session in sessions {
+            self.outbox.other_bytes += self.enqueue(session, frame.clone());
         }
     }
 
-    /// Has a frame wait for one counter, which is let go if it takes no more; how many bytes wait now on top.
-    fn say(&mut self, link: u64, frame: Bytes) -> u64 {
+    /// Queues a frame for one proxy, whose session is closed if it accepts no more. Returns how many bytes were queued.
+    fn enqueue(&mut self, session: u64, frame: Bytes) -> u64 {
         let length = frame.len() as u64;
-        match self.mouth.links.get(&link).map(|l| l.to.try_send(frame)) {
+        match self
+            .outbox
+            .sessions
+            .get(&session)
+            .map(|session| session.frames.try_send(frame))
+        {
             Some(Ok(())) => return length,
             Some(Err(_)) => {
-                tracing::debug!(target: "session", "A counter that takes nothing more is let go.");
-                self.let_go(link);
+                tracing::debug!(target: "session", "Session {session} closed: its queue is full.");
+                self.close_session(session);
             }
             None => {}
         }
         0
     }
 
-    /// A link has ended, or is to end.
-    pub fn let_go(&mut self, link: u64) {
-        if self.mouth.links.remove(&link).is_some() {
-            self.roster.closed(link);
-            self.feed(Event::Closed { link });
+    /// Takes note that a session has ended, or ends it.
+    pub fn close_session(&mut self, session: u64) {
+        if self.outbox.sessions.remove(&session).is_some() {
+            self.proxies.on_closed(session);
+            self.on_config_event(Event::Closed { session });
         }
     }
 
-    /// This machine leads in this term, or no longer: all links of before end.
-    pub fn hang_up(&mut self, term: Option<u64>) {
-        self.mouth.links.clear();
-        self.feed(Event::Leads { term });
+    /// Ends all sessions, as this controller leads in another term now, or no longer.
+    pub fn close_all_sessions(&mut self, term: Option<u64>) {
+        self.outbox.sessions.clear();
+        self.on_config_event(Event::LeadershipChanged { term });
     }
 
-    /// Counters are to have the newest edition.
-    pub fn feed_newest(&mut self) {
-        if let Some(kept) = self.records.edition.clone() {
-            self.feed(Event::Edition(kept));
+    /// Begins to send the newest configuration to all proxies.
+    pub fn send_newest_config(&mut self) {
+        if let Some(config) = self.control.config.clone() {
+            self.on_config_event(Event::NewConfig(config));
         }
     }
 
-    /// Something has happened to the editions that are on their way.
-    pub fn feed(&mut self, event: Event) {
-        for action in self.feeds.step(now(), event) {
+    /// Takes in an event of the configurations in flight.
+    pub fn on_config_event(&mut self, event: Event) {
+        for action in self.config_sender.step(now(), event) {
             match action {
-                Action::Send { link, frame } => {
-                    self.mouth.editions += self.say(link, frame);
+                Action::Send { session, frame } => {
+                    self.outbox.config_bytes += self.enqueue(session, frame);
                 }
-                Action::Current { link } => {
-                    let welcome = self
-                        .mouth
-                        .links
-                        .get_mut(&link)
-                        .and_then(|l| l.welcome.take());
-                    if let Some(frame) = welcome {
-                        self.mouth.words += self.say(link, frame);
-                    }
-                }
-                Action::InForce {
-                    link,
-                    number,
-                    told,
-                    after,
+                Action::UpToDate { session } => self.send_welcome(session),
+                Action::Applied {
+                    session,
+                    version,
+                    bytes,
+                    elapsed,
                 } => {
-                    tracing::debug!(
-                        target: "edition",
-                        "Edition {number} is in force at the counter of link {link}: {told} bytes, {} ms.",
-                        after / 1000
-                    );
-                    if self.feeds.behind() == 0 {
-                        tracing::info!(
-                            target: "edition",
-                            "Edition {number} is in force at all {} counters, after {} ms; {told} bytes to the last.",
-                            self.mouth.links.len(),
-                            after / 1000
-                        );
-                    }
+                    self.log_applied(session, version, bytes, elapsed);
                 }
             }
         }
     }
 
-    /// How editions go out, for operators.
-    pub fn telling(&self) -> Json {
+    fn send_welcome(&mut self, session: u64) {
+        let welcome = self
+            .outbox
+            .sessions
+            .get_mut(&session)
+            .and_then(|session| session.welcome.take());
+        if let Some(frame) = welcome {
+            self.outbox.other_bytes += self.enqueue(session, frame);
+        }
+    }
+
+    fn log_applied(&self, session: u64, version: u64, bytes: u32, elapsed: Micros) {
+        let elapsed_ms = elapsed / 1000;
+        tracing::debug!(
+            target: "config",
+            "Configuration {version} in force at the proxy of session {session}: {bytes} bytes, {elapsed_ms} ms."
+        );
+        if self.config_sender.outdated_proxies() == 0 {
+            tracing::info!(
+                target: "config",
+                "Configuration {version} in force at all {} proxies after {elapsed_ms} ms; {bytes} bytes to the last one.",
+                self.outbox.sessions.len()
+            );
+        }
+    }
+
+    /// Returns how configurations go out, for operators.
+    pub fn transfers_view(&self) -> Json {
         jzon::object! {
-            counters: self.mouth.links.len(), behind: self.feeds.behind(), bytes_on_their_way: self.feeds.flying(),
-            bytes_of_editions: self.mouth.editions, bytes_of_all_else: self.mouth.words,
-            editions_remembered_bytes: self.feeds.kept_bytes()
+            counters: self.outbox.sessions.len(),
+            behind: self.config_sender.outdated_proxies(),
+            bytes_on_their_way: self.config_sender.in_flight(),
+            bytes_of_editions: self.outbox.config_bytes,
+            bytes_of_all_else: self.outbox.other_bytes,
+            editions_remembered_bytes: self.config_sender.memory_bytes()
         }
     }
 }
