--- a/crates/gateway/src/controller/proxy_sessions.rs
+++ b/crates/gateway/src/controller/proxy_sessions.rs
@@ -1,13 +1,15 @@
-//! Links from other agents: counters that hold on to the leader, and other sorting machines.
+//! Connections from other agents: sessions of proxies, and consensus messages of other controllers.
 
-use super::leader_redirect::{way, Way};
-use super::proxy_outbox::Queue;
-use super::Sorting;
-use crate::clock::{now, span, Micros};
-use crate::net::{self, Frames};
+use super::leader_redirect::{target, Target};
+use super::proxy_outbox::SessionQueue;
+use super::Controller;
+use crate::clock::{duration, now, sleep, Micros};
+use crate::net::{self, FrameReader};
 use crate::view;
 use magpieline_control_plane::config_sender::Event;
-use magpieline_control_plane::messages::{Down, Fenced, Hello, Opening, Up};
+use magpieline_control_plane::messages::{
+    ConnectionPurpose, ControllerMessage, Fenced, Hello, ProxyMessage,
+};
 use magpieline_raft::Envelope;
 use socket2::SockRef;
 use std::sync::Arc;
@@ -17,151 +19,187 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Who opens a link says at once what it is for.
-const SAID_WITHIN: Micros = 1_000_000;
-/// Counters let go of a leader after a second without a word.
-const BEAT: Micros = 300_000;
-/// A counter that asks while nobody leads is answered when somebody does, or after this; it waits a second itself.
-const HELD_BACK: Micros = 300_000;
+/// Who opens a connection says at once what it is for.
+const FIRST_MESSAGE_TIMEOUT: Micros = 1_000_000;
+/// Proxies leave a leader that sends nothing for a second.
+const HEARTBEAT_INTERVAL: Micros = 300_000;
+/// A proxy that asks while nobody leads is answered when somebody does, or after this; it waits a second itself.
+const MAX_WAIT_FOR_LEADER: Micros = 300_000;
+/// After a connection that could not be accepted.
+const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
 
-pub async fn run(sorting: Arc<Sorting>, inner: TcpListener) {
-    tokio::spawn(beat(sorting.clone()));
+/// Serves agents until the task is aborted.
+pub async fn run(controller: Arc<Controller>, listener: TcpListener) {
+    tokio::spawn(send_heartbeats(controller.clone()));
     loop {
-        let Ok((stream, _)) = inner.accept().await else {
-            tokio::time::sleep(span(20_000)).await;
+        let Ok((stream, _)) = listener.accept().await else {
+            sleep(ACCEPT_RETRY_INTERVAL).await;
             continue;
         };
-        if net::prepare(&stream).is_ok() {
-            tokio::spawn(link(sorting.clone(), stream));
+        if net::configure_stream(&stream).is_ok() {
+            tokio::spawn(serve_connection(controller.clone(), stream));
         }
     }
 }
 
-/// Tells each counter that this machine leads, only while nobody else can.
-async fn beat(sorting: Arc<Sorting>) {
+/// Tells each proxy that this controller leads, only while nobody else can.
+async fn send_heartbeats(controller: Arc<Controller>) {
     loop {
-        tokio::time::sleep(span(BEAT)).await;
-        if sorting.council.leads() {
-            let mut state = sorting.state();
-            state.beat();
-            state.feed(Event::Tick);
+        sleep(HEARTBEAT_INTERVAL).await;
+        if controller.raft.holds_lease() {
+            let mut state = controller.state();
+            state.send_heartbeats();
+            state.on_config_event(Event::Tick);
         }
     }
 }
 
-async fn link(sorting: Arc<Sorting>, stream: TcpStream) {
+async fn serve_connection(controller: Arc<Controller>, stream: TcpStream) {
     let (read, mut write) = stream.into_split();
-    let mut read = Frames::new(read);
-    match timeout(span(SAID_WITHIN), read.next::<Opening>()).await {
-        Ok(Ok(Some(Opening::Counter))) => counter(sorting, read, write).await,
-        Ok(Ok(Some(Opening::Sorting(_)))) => {
-            while let Ok(Some(envelope)) = read.next::<Envelope>().await {
-                sorting.council.receive(envelope);
+    let mut reader = FrameReader::new(read);
+    let purpose = timeout(
+        duration(FIRST_MESSAGE_TIMEOUT),
+        reader.next::<ConnectionPurpose>(),
+    )
+    .await;
+    match purpose {
+        Ok(Ok(Some(ConnectionPurpose::ProxySession))) => {
+            serve_proxy(controller, reader, write).await
+        }
+        Ok(Ok(Some(ConnectionPurpose::Consensus(_)))) => {
+            while let Ok(Some(envelope)) = reader.next::<Envelope>().await {
+                controller.raft.receive(envelope);
             }
         }
-        Ok(Ok(Some(Opening::View))) => view::answer(&mut write, &sorting.shown()).await,
+        Ok(Ok(Some(ConnectionPurpose::View))) => view::send(&mut write, &controller.view()).await,
         Ok(Ok(None) | Err(_)) | Err(_) => {}
     }
 }
 
-/// The term in which a majority has confirmed, after this was asked, that this machine leads. While nobody is known to
-/// lead, and lately somebody was, it waits a moment for who will.
-async fn confirmed(sorting: &Sorting) -> Option<u64> {
-    let until = now() + HELD_BACK;
-    while let Way::Wait(_) = way(&sorting.council.sight(), now(), until) {
-        if sorting.council.leading().is_some() {
+/// Returns the term in which a majority has confirmed, after this was asked, that this controller leads. While nobody is known to
+/// lead, and somebody was recently, it waits a moment for who will.
+async fn confirmed_term(controller: &Controller) -> Option<u64> {
+    let raft = &controller.raft;
+    let deadline = now() + MAX_WAIT_FOR_LEADER;
+    while let Target::Wait(_) = target(&raft.leader_view(), now(), deadline) {
+        if raft.leading_term().is_some() {
             break; // the read waits for a majority by itself
         }
-        sorting.council.changed(until).await;
+        raft.leader_changed(deadline).await;
     }
-    let term = sorting.council.leading()?;
-    sorting.council.barrier().await.ok()?;
-    // Leadership of a term is never had again once it is lost.
-    sorting.council.leading().filter(|still| *still == term)
+    let term = raft.leading_term()?;
+    raft.read_barrier().await.ok()?;
+    // The leadership of a term is never regained once it is lost.
+    raft.leading_term().filter(|still| *still == term)
 }
 
-/// Takes up a counter and what it is to be told first; none if this machine can't show that it leads.
-fn take_up(sorting: &Sorting, term: u64, hello: &Hello) -> Option<(u64, Queue)> {
-    let mut state = sorting.state();
-    let (link, queue) = state.open();
-    if !state.roster.hello(now(), link, term, hello) {
-        state.let_go(link);
+/// Registers a proxy, and queues what it is to be sent first. None if this controller can't show that it leads.
+fn register(controller: &Controller, term: u64, hello: &Hello) -> Option<(u64, SessionQueue)> {
+    let mut state = controller.state();
+    let (session, queue) = state.open_session();
+    if !state.proxies.register(now(), session, term, hello) {
+        state.close_session(session);
         return None;
     }
-    let counters = state.roster.count(now());
-    for word in &state.all() {
-        state.tell(link, word);
+    let proxies = state.proxies.count(now());
+    for message in &state.current_messages() {
+        state.send(session, message);
     }
-    let welcome = Down::Welcome {
-        core: sorting.council.members(),
-        counters,
-        asked: hello.at,
+    let controllers = controller.raft.voters();
+    let welcome = ControllerMessage::Welcome {
+        controllers,
+        proxies,
+        confirmed_at: hello.sent_at,
     };
-    state.begin(link, hello.edition, &welcome);
-    Some((link, queue))
+    state.begin_config_transfer(session, hello.config_version, &welcome);
+    Some((session, queue))
 }
 
-async fn counter(
-    sorting: Arc<Sorting>,
-    mut read: Frames<OwnedReadHalf>,
+async fn serve_proxy(
+    controller: Arc<Controller>,
+    mut reader: FrameReader<OwnedReadHalf>,
     mut write: OwnedWriteHalf,
 ) {
-    let said = timeout(span(SAID_WITHIN), read.next::<Up>()).await;
-    let Ok(Ok(Some(Up::Hello(hello)))) = said else {
+    let first = timeout(
+        duration(FIRST_MESSAGE_TIMEOUT),
+        reader.next::<ProxyMessage>(),
+    )
+    .await;
+    let Ok(Ok(Some(ProxyMessage::Hello(hello)))) = first else {
         return;
     };
-    // What a counter is told must not be older than what any other has been told.
-    let held = confirmed(&sorting)
-        .await
-        .and_then(|term| take_up(&sorting, term, &hello));
-    let Some((link, mut queue)) = held else {
-        let leader = sorting.council.leader().filter(|l| *l != sorting.inner());
-        let word = Down::Elsewhere {
-            leader,
-            core: sorting.council.members(),
-        };
-        let _ = net::say(
-            &mut write,
-            &Fenced {
-                term: sorting.council.term(),
-                word,
-            },
-        )
-        .await;
-        return;
+    // What a proxy is told must not be older than what any other has been told.
+    let term = confirmed_term(&controller).await;
+    let registered = term.and_then(|term| register(&controller, term, &hello));
+    let Some((session, mut queue)) = registered else {
+        return redirect(&controller, &mut write).await;
     };
     let node = hello.node;
-    tracing::debug!(target: "session", "Counter {node} is held.");
-    let writing = async {
-        while let Some(frame) = queue.waiting.recv().await {
-            if write.write_all(&frame).await.is_err() {
-                break;
+    tracing::debug!(target: "session", "Proxy {node} registered, session {session}.");
+    tokio::select! {
+        biased;
+        _ = queue.closed => {}
+        () = async {
+            while let Some(frame) = queue.frames.recv().await {
+                if write.write_all(&frame).await.is_err() {
+                    break;
+                }
             }
-        }
+        } => {}
+        () = read_messages(&controller, &node, session, &mut reader) => {}
+    }
+    // What the system still holds for it is not to arrive either.
+    let _ = SockRef::from(reader.stream().as_ref()).set_linger(Some(Duration::ZERO));
+    controller.state().close_session(session);
+}
+
+/// Tells a proxy who may lead.
+async fn redirect(controller: &Controller, write: &mut OwnedWriteHalf) {
+    let leader = controller
+        .raft
+        .leader()
+        .filter(|leader| *leader != controller.agent_address());
+    let message = ControllerMessage::Redirect {
+        leader,
+        controllers: controller.raft.voters(),
     };
-    let reading = async {
-        while let Ok(Some(up)) = read.next::<Up>().await {
-            let mut state = sorting.state();
-            match up {
-                Up::Report(report) => {
-                    if !state.roster.report(now(), link, report) {
-                        tracing::info!(target: "session", "Counter {node} has heard a newer leader.");
-                        break;
-                    }
+    let _ = net::write_frame(
+        write,
+        &Fenced {
+            term: controller.raft.term(),
+            message,
+        },
+    )
+    .await;
+}
+
+/// Takes in what a proxy sends, until its session ends.
+async fn read_messages(
+    controller: &Controller,
+    node: &str,
+    session: u64,
+    reader: &mut FrameReader<OwnedReadHalf>,
+) {
+    while let Ok(Some(message)) = reader.next::<ProxyMessage>().await {
+        let mut state = controller.state();
+        match message {
+            ProxyMessage::Report(report) => {
+                if !state.proxies.on_report(now(), session, report) {
+                    tracing::info!(target: "session", "Proxy {node} has heard a newer leader.");
+                    break;
                 }
-                Up::Got { number, upto } => state.feed(Event::Got { link, number, upto }),
-                Up::Holds { edition } => state.feed(Event::Holds { link, edition }),
-                Up::Hello(_) => {}
             }
+            ProxyMessage::ChunkReceived { version, received } => {
+                state.on_config_event(Event::ChunkReceived {
+                    session,
+                    version,
+                    received,
+                });
+            }
+            ProxyMessage::ConfigApplied { version } => {
+                state.on_config_event(Event::ConfigApplied { session, version });
+            }
+            ProxyMessage::Hello(_) => {}
         }
-    };
-    tokio::select! {
-        biased;
-        _ = queue.ended => {}
-        () = writing => {}
-        () = reading => {}
     }
-    // What the system still holds of it is not to arrive either.
-    let _ = SockRef::from(read.source().as_ref()).set_linger(Some(Duration::ZERO));
-    sorting.state().let_go(link);
 }
--- a/crates/gateway/src/controller/rollout_controller.rs
+++ b/crates/gateway/src/controller/rollout_controller.rs
@@ -1,144 +1,205 @@
-//! The leader moves rollouts on: it pools what the counters have seen, asks the jury, and carries out what that says.
+//! The leader moves rollouts on: it pools what the proxies have seen, has it analysed, and carries out the decision.
 
-use super::Sorting;
-use crate::clock::{now, span, Micros};
-use magpieline_control_plane::messages::{Down, State as ListState};
+use super::{Controller, ControllerState};
+use crate::clock::{now, sleep, Micros};
+use crate::view::phase_name;
+use magpieline_control_plane::messages::{ControllerMessage, EndpointState, TrialStage};
 use magpieline_control_plane::state_machine::{Command, Phase, Rollout};
-use magpieline_rollout::analysis::{Jury, Look, Step};
+use magpieline_rollout::analysis::{Decision, Observation, RolloutAnalysis};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often the jury looks; counters report twice a second, and at once when something is new to them.
-const EVERY: Micros = 150_000;
-/// Under a new leader counters come within a second; nothing is decided before they have.
-const SETTLE: Micros = 1_000_000;
+/// How often rollouts are analysed; proxies report twice a second, and at once when something is new to them.
+const ANALYSIS_INTERVAL: Micros = 150_000;
+/// Under a new leader proxies come within a second; nothing is decided before they have.
+const SETTLE_TIME: Micros = 1_000_000;
 
-/// A jury and what it needs to know from look to look.
-struct Case {
-    order: u64,
-    jury: Jury,
+/// A rollout that is under way.
+struct ActiveRollout {
+    id: u64,
+    analysis: RolloutAnalysis,
+    /// Since when most endpoints of the new version have been warm.
     warm_since: Option<Micros>,
 }
 
-pub async fn run(sorting: Arc<Sorting>) {
-    let mut cases: BTreeMap<String, Case> = BTreeMap::new();
-    let mut led: Option<(u64, Micros)> = None;
+/// The rollouts under way, by service.
+type ActiveRollouts = BTreeMap<String, ActiveRollout>;
+
+/// A leadership of this controller.
+#[derive(Clone, Copy)]
+struct Leadership {
+    term: u64,
+    since: Micros,
+}
+
+/// Moves rollouts on while this controller leads, until the task is aborted.
+pub async fn run(controller: Arc<Controller>) {
+    let mut active = ActiveRollouts::new();
+    let mut leadership: Option<Leadership> = None;
     loop {
-        tokio::time::sleep(span(EVERY)).await;
-        let Some(term) = sorting.council.leads_in() else {
+        sleep(ANALYSIS_INTERVAL).await;
+        let Some(term) = controller.raft.lease_term() else {
             continue;
         };
-        if led.is_none_or(|(before, _)| before != term) {
-            // Each leadership begins anew: what counters have seen is told again as a whole.
-            (led, cases) = (Some((term, now())), BTreeMap::new());
-        }
-        if led.is_some_and(|(_, since)| now() < since + SETTLE) {
-            continue;
-        }
-        let rolling: Vec<(String, Rollout)> = {
-            let state = sorting.state();
-            let rollouts = state
-                .records
-                .services
-                .iter()
-                .filter_map(|(s, at)| Some((s.clone(), at.rollout.clone()?)));
-            rollouts
-                .filter(|(_, r)| matches!(r.phase, Phase::Trial | Phase::Moving))
-                .collect()
-        };
-        cases.retain(|service, case| {
-            rolling
-                .iter()
-                .any(|(s, r)| s == service && r.order == case.order)
-        });
-        for (service, rollout) in rolling {
-            // What was agreed on for the one before may have taken long.
-            if sorting.council.leads_in() != Some(term) {
-                break;
+        let current = match leadership {
+            Some(current) if current.term == term => current,
+            _ => {
+                // Each leadership starts over: proxies report all that they have seen again.
+                active.clear();
+                *leadership.insert(Leadership { term, since: now() })
             }
-            look(&sorting, &mut cases, &service, &rollout).await;
+        };
+        if now() >= current.since + SETTLE_TIME {
+            analyse_all(&controller, term, &mut active).await;
+        }
+    }
+}
+
+async fn analyse_all(controller: &Controller, term: u64, active: &mut ActiveRollouts) {
+    let rollouts = rollouts_under_way(&controller.state());
+    active.retain(|service, known| {
+        let is_known =
+            |(name, rollout): &(String, Rollout)| name == service && rollout.id == known.id;
+        rollouts.iter().any(is_known)
+    });
+    for (service, rollout) in rollouts {
+        // What was proposed for the one before may have taken long.
+        if controller.raft.lease_term() != Some(term) {
+            break;
         }
+        analyse(controller, active, &service, &rollout).await;
     }
 }
 
-async fn look(
-    sorting: &Sorting,
-    cases: &mut BTreeMap<String, Case>,
+fn rollouts_under_way(state: &ControllerState) -> Vec<(String, Rollout)> {
+    let services = state.control.services.iter();
+    let rollouts =
+        services.filter_map(|(name, service)| Some((name.clone(), service.rollout.clone()?)));
+    rollouts
+        .filter(|(_, rollout)| matches!(rollout.phase, Phase::Trial | Phase::Promoting))
+        .collect()
+}
+
+/// Analyses one rollout, and carries out the decision.
+async fn analyse(
+    controller: &Controller,
+    active: &mut ActiveRollouts,
     service: &str,
     rollout: &Rollout,
 ) {
-    let at = now();
-    let (step, against) = {
-        let mut state = sorting.state();
-        let pooled = state.roster.pooled(service, rollout.order);
-        let (mut listed, mut cold) = (0, 0);
-        if let Some(reading) = &state.list {
-            let trial = reading
-                .list
-                .values()
-                .filter(|e| &*e.service == service && *e.version == *rollout.to);
-            for entry in trial.filter(|e| e.state == ListState::Ready) {
-                listed += 1;
-                cold += usize::from(reading.at + entry.cold > at);
-            }
-        }
-        let case = cases.entry(service.to_owned()).or_insert_with(|| {
-            // The order may be older than this leadership: counters tell for how long they have known of it.
-            let began = at - pooled.age;
-            let share = sorting.settings.borrow().terms.expose_share;
-            let rate = pooled.taken as f64 / (pooled.age as f64 / 1e6).max(1.0);
-            Case {
-                order: rollout.order,
-                jury: Jury::new(began, rollout.within, rollout.phase, share, rate),
-                warm_since: None,
-            }
-        });
-        // Some may be cold again after a crash; most have to be warm.
-        let warm = listed > 0 && 3 * cold <= listed;
-        case.warm_since = if warm {
-            case.warm_since.or(Some(at))
-        } else {
-            None
-        };
-        case.jury.moved(at, rollout.phase);
-        let leaving = state.roster.leaving(at, service, rollout.order);
-        let away = state.roster.all().filter(|(_, c)| c.away(at)).count() as u32;
-        let look = Look {
-            now: at,
-            pooled: &pooled,
-            listed,
-            warm_since: case.warm_since,
-            leaving,
-            away,
-        };
-        let step = case.jury.look(look);
-        if let Step::Stage(stage) = step {
-            state
-                .stages
-                .insert(service.to_owned(), (rollout.order, stage));
-            state.tell_all(&Down::Stage(service.into(), rollout.order, stage));
-        }
-        (step, case.jury.account(&pooled))
-    };
-    match step {
-        Step::None => tracing::debug!(target: "rollout", "{service} to {}: {against}.", rollout.to),
-        Step::Stage(stage) => tracing::info!(
-            target: "rollout",
-            "{service} to {}: share {:.3}{}{}.",
-            rollout.to,
-            stage.share,
-            if stage.guarded { ", guarded" } else { "" },
-            if stage.focus > 0 { format!(", at {} appliances", stage.focus) } else { String::new() }
-        ),
-        Step::Advance(phase) => {
-            tracing::info!(target: "rollout", "{service} to {}: {phase:?}, on {against}.", rollout.to);
-            let command = Command::Advance {
+    let (decision, summary) = decide(controller, active, service, rollout);
+    let target = &rollout.target_version;
+    match decision {
+        Decision::Wait => tracing::debug!(target: "rollout", "{service} to {target}: {summary}."),
+        Decision::EnterStage(stage) => log_stage(service, target, &stage),
+        Decision::Advance(phase) => {
+            let name = phase_name(phase);
+            tracing::info!(target: "rollout", "{service} to {target}: {name}, on {summary}.");
+            let command = Command::AdvanceRollout {
                 service: service.to_owned(),
-                order: rollout.order,
+                id: rollout.id,
                 phase,
             };
-            // Not agreed on: the next look asks again.
-            let _ = sorting.council.propose(&command).await;
+            // If it is not committed, the next analysis proposes it again.
+            let _ = controller.raft.propose(&command).await;
+        }
+    }
+}
+
+fn log_stage(service: &str, target: &str, stage: &TrialStage) {
+    let restriction = if stage.idempotent_only {
+        ", idempotent requests only"
+    } else {
+        ""
+    };
+    let endpoints = match stage.max_endpoints {
+        0 => String::new(),
+        max => format!(", at {max} endpoints"),
+    };
+    tracing::info!(
+        target: "rollout",
+        "{service} to {target}: share {:.3}{restriction}{endpoints}.", stage.share
+    );
+}
+
+/// Decides what to do with one rollout, and tells the proxies if that is another stage. Returns the decision, and what it rests
+/// on.
+fn decide(
+    controller: &Controller,
+    active: &mut ActiveRollouts,
+    service: &str,
+    rollout: &Rollout,
+) -> (Decision, String) {
+    let now = now();
+    let mut state = controller.state();
+    let pooled = state.proxies.pooled_evidence(service, rollout.id);
+    let new_version = NewVersion::of(&state, service, rollout, now);
+    let known = active.entry(service.to_owned()).or_insert_with(|| {
+        // The order may be older than this leadership: proxies tell for how long they have known of it.
+        let started_at = now - pooled.age;
+        let share = controller.settings.borrow().guarantees.expose_share;
+        let rate = pooled.requests as f64 / (pooled.age as f64 / 1e6).max(1.0);
+        let analysis = RolloutAnalysis::new(started_at, rollout.within, rollout.phase, share, rate);
+        ActiveRollout {
+            id: rollout.id,
+            analysis,
+            warm_since: None,
+        }
+    });
+    known.warm_since = if new_version.is_warm() {
+        known.warm_since.or(Some(now))
+    } else {
+        None
+    };
+    known.analysis.set_phase(now, rollout.phase);
+    let observation = Observation {
+        now,
+        pooled: &pooled,
+        ready_endpoints: new_version.ready,
+        warm_since: known.warm_since,
+        drain: state.proxies.drain_progress(now, service, rollout.id),
+        away_proxies: state
+            .proxies
+            .iter()
+            .filter(|(_, proxy)| proxy.is_away(now))
+            .count() as u32,
+    };
+    let decision = known.analysis.decide(observation);
+    if let Decision::EnterStage(stage) = decision {
+        state.stages.insert(service.to_owned(), (rollout.id, stage));
+        state.broadcast(&ControllerMessage::Stage(service.into(), rollout.id, stage));
+    }
+    (decision, known.analysis.summary(&pooled))
+}
+
+/// The listed endpoints of the version on trial.
+struct NewVersion {
+    ready: usize,
+    warming_up: usize,
+}
+
+impl NewVersion {
+    fn of(state: &ControllerState, service: &str, rollout: &Rollout, now: Micros) -> NewVersion {
+        let mut counts = NewVersion {
+            ready: 0,
+            warming_up: 0,
+        };
+        let Some(snapshot) = &state.endpoints else {
+            return counts;
+        };
+        for endpoint in snapshot.endpoints.values() {
+            let is_of_version =
+                &*endpoint.service == service && *endpoint.version == *rollout.target_version;
+            if is_of_version && endpoint.state == EndpointState::Ready {
+                counts.ready += 1;
+                counts.warming_up += usize::from(snapshot.read_at + endpoint.warmup_left > now);
+            }
         }
+        counts
+    }
+
+    /// Some may be cold again after a crash; most have to be warm.
+    fn is_warm(&self) -> bool {
+        self.ready > 0 && 3 * self.warming_up <= self.ready
     }
 }
--- a/crates/gateway/src/controller/store_recovery.rs
+++ b/crates/gateway/src/controller/store_recovery.rs
@@ -1,60 +1,65 @@
-//! A sorting machine's lives, one after the other in one process: a store that can't be had is waited for, one that does
-//! not add up is set aside and the machine goes on as an empty one, and one that is too new is left alone. Ending the
-//! process would be no remedy: it would be started again on the same store.
+//! What a controller does about a store that it can't use, while its process goes on: it waits for one that can't be had,
+//! quarantines one that does not add up and goes on with an empty one, and leaves alone one that is too new. Ending the process
+//! would be no remedy: it would be started again on the same store.
 
-use super::raft_driver::{Council, Driver, Stop};
-use crate::clock::{now, span, Micros};
+use super::raft_driver::{self, RaftDriver, RaftHandle, StopReason};
+use crate::clock::{now, sleep, Micros};
 use crate::{signals, view};
-use magpieline_config::node_settings::Machine;
+use magpieline_config::node_settings::NodeSettings;
 use magpieline_raft_store::{quarantine, DiskDirectory, Remedy, StoreError};
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-/// How often a disk that refuses is tried again, and others are asked for what can't be read here.
-const AGAIN: Micros = 1_000_000;
+/// How often a disk that refuses is tried again, and other controllers are asked for what can't be decoded here.
+const RETRY_INTERVAL: Micros = 1_000_000;
 
-/// What follows when the agreement has stopped on this machine.
+/// What follows when the Raft driver has stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// It is over.
-    Leave,
-    /// The store is set aside at once, and a new life begins.
-    SetAside,
-    /// The same, but not before another machine leads that has applied the log up to there: only that shows that the fault
-    /// lies here. Were it everywhere, all machines would give up what nobody else holds.
-    SetAsideOnceApplied(u64),
-    /// This release can't read what a newer one wrote; a new life would not, either. The store stays as it is.
+pub enum RecoveryStep {
+    /// The process ends.
+    Exit,
+    /// The store is quarantined at once, and the node starts as a new incarnation.
+    Quarantine,
+    /// The same, but not before another controller leads that has applied the log up to this index: only that shows that the
+    /// fault is here. Were it everywhere, all controllers would give up what nobody else holds.
+    QuarantineOnceApplied(u64),
+    /// This release can't read what a newer one wrote, and a new incarnation could not, either. The store stays as it is.
     Halt,
 }
 
-impl Next {
-    pub fn after(stop: &Stop) -> Next {
-        match stop {
-            Stop::Over => Next::Leave,
-            Stop::Store(error) => match error.remedy() {
-                Remedy::Quarantine => Next::SetAside,
-                Remedy::Halt | Remedy::Retry => Next::Halt,
+impl RecoveryStep {
+    /// Decides what follows.
+    pub fn after(reason: &StopReason) -> RecoveryStep {
+        match reason {
+            StopReason::Shutdown => RecoveryStep::Exit,
+            StopReason::Store(error) => match error.remedy() {
+                Remedy::Quarantine => RecoveryStep::Quarantine,
+                Remedy::Halt | Remedy::Retry => RecoveryStep::Halt,
             },
-            Stop::Unreadable(_, wrong) if wrong.newer => Next::Halt,
-            Stop::Unreadable(index, _) => Next::SetAsideOnceApplied(*index),
+            StopReason::Undecodable(_, error) if error.is_newer_format => RecoveryStep::Halt,
+            StopReason::Undecodable(index, _) => RecoveryStep::QuarantineOnceApplied(*index),
         }
     }
 }
 
-/// Opens the store as soon as that can be done; none if the platform ends the process before.
-pub async fn open(machine: &Machine, store: &Path, life: u64) -> Option<(Council, Driver)> {
-    let mut told = None;
+/// Opens the store in `dir` as soon as that can be done. None if the platform ends the process before.
+pub async fn open(
+    settings: &NodeSettings,
+    dir: &Path,
+    incarnation: u64,
+) -> Option<(RaftHandle, RaftDriver)> {
+    let mut logged = None;
     loop {
-        let error = match Council::open(machine, store, life) {
+        let error = match raft_driver::open(settings, dir, incarnation) {
             Ok(opened) => return Some(opened),
             Err(error) => error,
         };
-        if told != Some(error) {
-            tracing::error!(target: "store", "{}: {error}.", store.display());
-            told = Some(error);
+        if logged != Some(error) {
+            tracing::error!(target: "store", "{}: {error}.", dir.display());
+            logged = Some(error);
         }
         match error.remedy() {
-            Remedy::Quarantine if put_aside(store).is_ok() => continue,
+            Remedy::Quarantine if quarantine_store(dir).is_ok() => continue,
             Remedy::Quarantine | Remedy::Retry => {}
             Remedy::Halt => {
                 signals::terminated().await;
@@ -63,64 +68,69 @@
         }
         tokio::select! {
             () = signals::terminated() => return None,
-            () = tokio::time::sleep(span(AGAIN)) => {}
+            () = sleep(RETRY_INTERVAL) => {}
         }
     }
 }
 
-/// What can't be read is out of the way when this returns well, whatever becomes of the power.
-fn put_aside(store: &Path) -> Result<(), StoreError> {
-    let done = quarantine(&DiskDirectory::at(store));
-    match done {
+/// Quarantines the store, and logs it.
+fn quarantine_store(dir: &Path) -> Result<(), StoreError> {
+    let result = quarantine(&DiskDirectory::at(dir));
+    match result {
         Ok(()) => {
-            tracing::error!(target: "store", "Set aside; this machine joins as an empty one.")
+            tracing::error!(target: "store", "Store quarantined; this node joins with an empty one.")
+        }
+        Err(error) => {
+            tracing::error!(target: "store", "The store could not be quarantined: {error}.")
         }
-        Err(error) => tracing::error!(target: "store", "It could not be set aside: {error}."),
     }
-    done
+    result
 }
 
-/// After a stop: whether a new life may begin. False: the platform ends the process.
-pub async fn begin_anew(stop: &Stop, store: &Path, others: &[SocketAddrV4]) -> bool {
-    match stop {
-        Stop::Over => {}
-        Stop::Store(error) => tracing::error!(target: "store", "{}: {error}.", store.display()),
-        Stop::Unreadable(index, wrong) => {
-            tracing::error!(target: "council", "Entry {index} stops this machine: {wrong}.")
+/// Recovers after the driver has stopped. Returns true once the node may start as a new incarnation, false if the platform ends
+/// the process.
+pub async fn recover(reason: &StopReason, dir: &Path, others: &[SocketAddrV4]) -> bool {
+    match reason {
+        StopReason::Shutdown => {}
+        StopReason::Store(error) => tracing::error!(target: "store", "{}: {error}.", dir.display()),
+        StopReason::Undecodable(index, error) => {
+            tracing::error!(target: "raft", "Entry {index} can't be decoded: {error}.");
         }
     }
-    let next = Next::after(stop);
-    let mending = async {
-        loop {
-            let may = match next {
-                Next::Leave | Next::Halt => false,
-                Next::SetAside => true,
-                Next::SetAsideOnceApplied(index) => somebody_applied(others, index).await,
-            };
-            if may && put_aside(store).is_ok() {
-                return;
-            }
-            tokio::time::sleep(span(AGAIN)).await;
-        }
-    };
+    let step = RecoveryStep::after(reason);
     tokio::select! {
         () = signals::terminated() => false,
-        () = mending => true,
+        () = quarantine_when_allowed(step, dir, others) => true,
+    }
+}
+
+async fn quarantine_when_allowed(step: RecoveryStep, dir: &Path, others: &[SocketAddrV4]) {
+    loop {
+        let is_allowed = match step {
+            RecoveryStep::Exit | RecoveryStep::Halt => false,
+            RecoveryStep::Quarantine => true,
+            RecoveryStep::QuarantineOnceApplied(index) => has_leader_applied(others, index).await,
+        };
+        if is_allowed && quarantine_store(dir).is_ok() {
+            return;
+        }
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Whether one of the others leads and has applied the log up to there.
-async fn somebody_applied(others: &[SocketAddrV4], index: u64) -> bool {
+/// Whether one of the other controllers leads and has applied the log up to `index`.
+async fn has_leader_applied(others: &[SocketAddrV4], index: u64) -> bool {
     let asked_at = now();
     for other in others {
-        let Ok(view) = view::ask(*other).await else {
+        let Ok(view) = view::fetch(*other).await else {
             continue;
         };
-        let applied = view["log"]["applied"]
+        let has_applied = view["log"]["applied"]
             .as_u64()
             .is_some_and(|applied| applied >= index);
-        if view["leads"].as_bool() == Some(true) && applied {
-            tracing::info!(target: "store", "{other} has applied entry {index}, {} ms.", (now() - asked_at) / 1000);
+        if view["leads"].as_bool() == Some(true) && has_applied {
+            let elapsed_ms = (now() - asked_at) / 1000;
+            tracing::info!(target: "store", "{other} has applied entry {index}, {elapsed_ms} ms.");
             return true;
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,12 @@
-//! The gateway: counters that carry the traffic, and sorting machines that keep its state. The program is `main.rs`; what it
-//! runs is a library, so that rigs play it on streams of their own.
+//! The gateway: proxies that forward clients' requests to the endpoints of services, and controllers that store the
+//! configuration by consensus and move rollouts on.
+//!
+//! The program is `main.rs`; what it runs is this library, so that simulations play it on streams of their own.
 
 pub mod clock;
 pub mod commands;
 pub mod controller;
-pub mod log;
+pub mod logging;
 pub mod net;
 pub mod platform_client;
 pub mod proxy;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's program: one command for each role, and what operators ask of it.
+//! The gateway's program: a command for each role, and the operators' commands.
 
 fn main() -> std::process::ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -1,8 +1,8 @@
-//! Sockets: listening and connecting with the options that a connection behind a cut needs, frames between agents,
-//! and what lets hyper read and write tokio's streams.
+//! Sockets: listening and connecting with the options that a connection behind a partition needs, frames between agents, and what
+//! lets hyper read and write tokio's streams.
 
-use crate::clock::{span, Micros};
-use magpieline_control_plane::messages;
+use crate::clock::{duration, Micros};
+use magpieline_control_plane::messages::{decode_frame, encode_frame};
 use serde::{Deserialize, Serialize};
 use socket2::{SockRef, TcpKeepalive};
 use std::cell::RefCell;
@@ -14,31 +14,43 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Bytes that the other side does not take for so long end a connection: links within a region answer in a few
+/// Bytes that the other side does not acknowledge for so long end a connection: links within a region answer in a few
 /// milliseconds, across regions in some hundred.
-const UNTAKEN: Duration = Duration::from_millis(1500);
-/// New connections that may wait to be taken.
-const WAITING: u32 = 1024;
-
-/// Listens at an address, at once again after a restart.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// New connections that may wait to be accepted.
+const BACKLOG: u32 = 1024;
+
+/// Listens at an address; at once again after a restart.
+///
+/// # Errors
+///
+/// If the address is not to be had; the message names it.
 pub fn listen(at: SocketAddrV4) -> io::Result<TcpListener> {
     let listening = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(at.into())?;
-        socket.listen(WAITING)
+        socket.listen(BACKLOG)
     };
     listening().map_err(|e| io::Error::new(e.kind(), format!("{at}: can't listen: {e}")))
 }
 
 /// Sets what every connection needs: no delay for small writes, an end where the other side is silent.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+///
+/// # Errors
+///
+/// If the system refuses.
+pub fn configure_stream(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(UNTAKEN))
+    SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
 
-/// Lets the system find out that the other side of an idle connection is gone.
-pub fn watch_idle(stream: &TcpStream, after: Duration) -> io::Result<()> {
+/// Makes the system find out that the other side of an idle connection is gone, from `after` on.
+///
+/// # Errors
+///
+/// If the system refuses.
+pub fn enable_keepalive(stream: &TcpStream, after: Duration) -> io::Result<()> {
     let probes = TcpKeepalive::new()
         .with_time(after)
         .with_interval(Duration::from_secs(1))
@@ -47,46 +59,54 @@
 }
 
 /// Connects within a time.
+///
+/// # Errors
+///
+/// If the connection is not up by then.
 pub async fn connect(to: SocketAddrV4, within: Micros) -> io::Result<TcpStream> {
-    let stream = tokio::time::timeout(span(within), TcpStream::connect(to)).await??;
-    prepare(&stream)?;
+    let stream = tokio::time::timeout(duration(within), TcpStream::connect(to)).await??;
+    configure_stream(&stream)?;
     Ok(stream)
 }
 
-/// Reads frames off a stream.
-pub struct Frames<R> {
+/// Reads frames from a stream.
+pub struct FrameReader<R> {
     from: R,
     bytes: Vec<u8>,
 }
 
-impl<R: AsyncRead + Unpin> Frames<R> {
-    pub fn new(from: R) -> Frames<R> {
-        Frames {
+impl<R: AsyncRead + Unpin> FrameReader<R> {
+    pub fn new(from: R) -> FrameReader<R> {
+        FrameReader {
             from,
             bytes: Vec::new(),
         }
     }
 
-    /// What they are read off.
-    pub fn source(&self) -> &R {
+    /// Returns the stream.
+    pub fn stream(&self) -> &R {
         &self.from
     }
 
-    /// The next message; none at the end. Cancel safe.
+    /// Returns the next message; none at the end. Cancel safe.
+    ///
+    /// # Errors
+    ///
+    /// If the stream fails, or what arrives is no message.
     pub async fn next<T: for<'a> Deserialize<'a>>(&mut self) -> io::Result<Option<T>> {
         loop {
-            match messages::unframe(&mut self.bytes) {
+            match decode_frame(&mut self.bytes) {
                 Ok(Some(message)) => return Ok(Some(message)),
                 Ok(None) => {}
-                Err(wrong) => {
+                Err(error) => {
                     return Err(io::Error::new(
                         io::ErrorKind::InvalidData,
-                        wrong.to_string(),
+                        error.to_string(),
                     ))
                 }
             }
             if self.bytes.is_empty() && self.bytes.capacity() > 64 << 10 {
-                self.bytes = Vec::new(); // a large message was read; its room is not kept
+                self.bytes = Vec::new(); // a large message was read; its memory is not kept
             }
             if self.from.read_buf(&mut self.bytes).await? == 0 {
                 return Ok(None);
@@ -96,25 +116,32 @@
 }
 
 /// Writes a message as a frame.
-pub async fn say<W: AsyncWrite + Unpin, T: Serialize>(to: &mut W, message: &T) -> io::Result<()> {
-    to.write_all(&messages::frame(message)).await
+///
+/// # Errors
+///
+/// If the stream fails.
+pub async fn write_frame<W: AsyncWrite + Unpin, T: Serialize>(
+    to: &mut W,
+    message: &T,
+) -> io::Result<()> {
+    to.write_all(&encode_frame(message)).await
 }
 
 thread_local! {
-    /// Where bytes are read to while it is not known whose they are.
+    /// Where bytes are read to before their owner is known.
     static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; 16 << 10]);
 }
 
-/// Reads some bytes that are there, at most `most`, and hands them on; how many they were, 0 at the end.
-pub fn poll_some<S: AsyncRead + Unpin>(
+/// Reads some bytes that have arrived, at most `max`, and hands them to `take`. Returns how many they were; 0 at the end.
+pub fn poll_read_some<S: AsyncRead + Unpin>(
     stream: &mut S,
     cx: &mut Context<'_>,
-    most: usize,
+    max: usize,
     take: impl FnOnce(&[u8]),
 ) -> Poll<io::Result<usize>> {
-    SCRATCH.with_borrow_mut(|room| {
-        let most = most.min(room.len());
-        let mut buffer = ReadBuf::new(&mut room[..most]);
+    SCRATCH.with_borrow_mut(|scratch| {
+        let max = max.min(scratch.len());
+        let mut buffer = ReadBuf::new(&mut scratch[..max]);
         ready!(Pin::new(stream).poll_read(cx, &mut buffer))?;
         let bytes = buffer.filled();
         if !bytes.is_empty() {
@@ -124,25 +151,25 @@
     })
 }
 
-/// A stream as hyper wants it.
-pub struct Wire<S>(pub S);
+/// Adapts a tokio stream to hyper.
+pub struct HyperIo<S>(pub S);
 
-impl<S: AsyncRead + Unpin> hyper::rt::Read for Wire<S> {
+impl<S: AsyncRead + Unpin> hyper::rt::Read for HyperIo<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut into: hyper::rt::ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut room = [0; 8 << 10];
-        let most = into.remaining().min(room.len());
-        let mut buffer = ReadBuf::new(&mut room[..most]);
+        let mut scratch = [0; 8 << 10];
+        let max = into.remaining().min(scratch.len());
+        let mut buffer = ReadBuf::new(&mut scratch[..max]);
         ready!(Pin::new(&mut self.0).poll_read(cx, &mut buffer))?;
         into.put_slice(buffer.filled());
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite + Unpin> hyper::rt::Write for Wire<S> {
+impl<S: AsyncWrite + Unpin> hyper::rt::Write for HyperIo<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/gateway/src/platform_client.rs
+++ b/crates/gateway/src/platform_client.rs
@@ -1,176 +1,199 @@
-//! The platform's list of appliances: calls to it, and what its answers say.
+//! The platform's list of endpoints: calls to it, and what its answers say.
 
-use crate::clock::{now, span, Micros};
-use crate::net::{self, Wire};
-use crate::settings::Held;
+use crate::clock::{duration, now, Micros};
+use crate::net::{self, HyperIo};
+use crate::settings::SettingsWatch;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::SendRequest;
 use hyper::Request;
 use jzon::JsonValue as Json;
 use magpieline_config::durations;
-use magpieline_control_plane::messages::{Entry, State};
+use magpieline_control_plane::messages::{Endpoint, EndpointState};
 use std::collections::BTreeMap;
+use std::fmt;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
 /// A call takes a few milliseconds; the list is wanted every second.
-const WITHIN: Micros = 800_000;
-/// Longest page that is read.
-const LONGEST: usize = 4 << 20;
-/// Pages of one list; more than a million appliances are not meant.
-const MOST_PAGES: usize = 20_000;
+const CALL_TIMEOUT: Micros = 800_000;
+/// Longest page that is read, in bytes.
+const MAX_PAGE_BYTES: usize = 4 << 20;
+/// Pages of one list; more than a million endpoints are not meant.
+const MAX_PAGES: usize = 20_000;
 
-/// All appliances by id, as one reading found them.
-pub type List = BTreeMap<Arc<str>, Entry>;
+/// All endpoints by id.
+pub type EndpointMap = BTreeMap<Arc<str>, Endpoint>;
 
-/// Why a list could not be read.
+/// Why the list could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failed {
-    /// Nothing, or no whole answer, came in time.
-    Silent,
-    /// It was answered, with this status.
-    Refused(u16),
-    /// What came is no list.
-    Unreadable(&'static str),
+pub enum ListError {
+    /// No answer, or no complete one, came in time.
+    NoAnswer,
+    /// It was answered with this status.
+    Status(u16),
+    /// The answer is no list.
+    Malformed(&'static str),
 }
 
-/// A caller of the list, who keeps its connection and goes where the settings say.
-pub struct Carrier {
+impl fmt::Display for ListError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ListError::NoAnswer => write!(f, "no answer in time"),
+            ListError::Status(status) => write!(f, "answered with status {status}"),
+            ListError::Malformed(what) => write!(f, "found {what}, expected a list of appliances"),
+        }
+    }
+}
+
+impl std::error::Error for ListError {}
+
+/// The list as it was read at one moment.
+pub struct EndpointSnapshot {
+    /// When it was read.
+    pub read_at: Micros,
+    /// The endpoints.
+    pub endpoints: EndpointMap,
+}
+
+impl EndpointSnapshot {
+    /// Takes the list as it was read just now.
+    pub fn new(endpoints: EndpointMap) -> EndpointSnapshot {
+        EndpointSnapshot {
+            read_at: now(),
+            endpoints,
+        }
+    }
+}
+
+/// Reads the list; it keeps its connection, and follows the address in the settings.
+pub struct PlatformClient {
     address: SocketAddrV4,
-    settings: Held,
-    line: Option<SendRequest<Empty<Bytes>>>,
+    settings: SettingsWatch,
+    connection: Option<SendRequest<Empty<Bytes>>>,
 }
 
-impl Carrier {
+impl PlatformClient {
     /// None where the settings name no list at the start.
-    pub fn of(settings: &Held) -> Option<Carrier> {
-        let address = settings.borrow().carrier.address?;
-        Some(Carrier {
+    pub fn new(settings: &SettingsWatch) -> Option<PlatformClient> {
+        let address = settings.borrow().platform.address?;
+        Some(PlatformClient {
             address,
             settings: settings.clone(),
-            line: None,
+            connection: None,
         })
     }
 
-    /// Reads the whole list, all its pages.
-    pub async fn list(&mut self) -> Result<List, Failed> {
-        let told = self
-            .settings
-            .borrow()
-            .carrier
-            .address
-            .filter(|to| *to != self.address);
-        if let Some(address) = told {
-            (self.address, self.line) = (address, None);
-        }
-        let (mut list, mut page) = (List::new(), None);
-        for _ in 0..MOST_PAGES {
+    /// Reads the complete list, all its pages.
+    ///
+    /// # Errors
+    ///
+    /// If a page can't be read.
+    pub async fn list(&mut self) -> Result<EndpointMap, ListError> {
+        self.follow_settings();
+        let mut endpoints = EndpointMap::new();
+        let mut page = None;
+        for _ in 0..MAX_PAGES {
             let text = self.page(page.as_deref()).await?;
-            page = read(&text, &mut list)?;
+            page = parse_page(&text, &mut endpoints)?;
             if page.is_none() {
-                return Ok(list);
+                return Ok(endpoints);
             }
         }
-        Err(Failed::Unreadable("a list without an end"))
+        Err(ListError::Malformed("a list without an end"))
     }
 
-    async fn page(&mut self, page: Option<&str>) -> Result<String, Failed> {
-        let path = page.map_or("/appliances".to_owned(), |p| {
-            format!("/appliances?page={p}")
-        });
-        match tokio::time::timeout(span(WITHIN), self.call(&path)).await {
-            Ok(Ok(text)) => Ok(text),
-            Ok(Err(failed)) => {
-                self.line = None;
-                Err(failed)
-            }
-            Err(_) => {
-                self.line = None;
-                Err(Failed::Silent)
-            }
+    fn follow_settings(&mut self) {
+        let configured = self.settings.borrow().platform.address;
+        if let Some(address) = configured.filter(|address| *address != self.address) {
+            self.address = address;
+            self.connection = None;
         }
     }
 
-    async fn call(&mut self, path: &str) -> Result<String, Failed> {
-        let mut line = match self.line.take().filter(|l| !l.is_closed()) {
-            Some(line) => line,
-            None => {
-                let stream = net::connect(self.address, WITHIN)
-                    .await
-                    .map_err(|_| Failed::Silent)?;
-                let (line, rest) = hyper::client::conn::http1::handshake(Wire(stream))
-                    .await
-                    .map_err(|_| Failed::Silent)?;
-                tokio::spawn(rest);
-                line
-            }
+    async fn page(&mut self, page: Option<&str>) -> Result<String, ListError> {
+        let path = match page {
+            None => "/appliances".to_owned(),
+            Some(page) => format!("/appliances?page={page}"),
         };
-        line.ready().await.map_err(|_| Failed::Silent)?;
+        let answer = tokio::time::timeout(duration(CALL_TIMEOUT), self.call(&path)).await;
+        let answer = answer.unwrap_or(Err(ListError::NoAnswer));
+        if answer.is_err() {
+            self.connection = None;
+        }
+        answer
+    }
+
+    async fn call(&mut self, path: &str) -> Result<String, ListError> {
+        let mut connection = match self
+            .connection
+            .take()
+            .filter(|connection| !connection.is_closed())
+        {
+            Some(connection) => connection,
+            None => self.connect().await?,
+        };
+        connection.ready().await.map_err(|_| ListError::NoAnswer)?;
         let request = Request::get(path)
             .header(hyper::header::HOST, self.address.to_string())
             .body(Empty::new())
-            .map_err(|_| Failed::Unreadable("a page that fits no path"))?;
-        let answer = line
+            .map_err(|_| ListError::Malformed("a page that fits no path"))?;
+        let answer = connection
             .send_request(request)
             .await
-            .map_err(|_| Failed::Silent)?;
+            .map_err(|_| ListError::NoAnswer)?;
         let status = answer.status().as_u16();
-        let body = Limited::new(answer.into_body(), LONGEST)
-            .collect()
-            .await
-            .map_err(|_| Failed::Silent)?;
-        self.line = Some(line);
+        let body = Limited::new(answer.into_body(), MAX_PAGE_BYTES);
+        let body = body.collect().await.map_err(|_| ListError::NoAnswer)?;
+        self.connection = Some(connection);
         if status != 200 {
-            return Err(Failed::Refused(status));
+            return Err(ListError::Status(status));
         }
-        String::from_utf8(body.to_bytes().into()).map_err(|_| Failed::Unreadable("no text"))
+        String::from_utf8(body.to_bytes().into()).map_err(|_| ListError::Malformed("no text"))
+    }
+
+    async fn connect(&self) -> Result<SendRequest<Empty<Bytes>>, ListError> {
+        let stream = net::connect(self.address, CALL_TIMEOUT).await;
+        let stream = stream.map_err(|_| ListError::NoAnswer)?;
+        let handshake = hyper::client::conn::http1::handshake(HyperIo(stream)).await;
+        let (connection, driver) = handshake.map_err(|_| ListError::NoAnswer)?;
+        tokio::spawn(driver);
+        Ok(connection)
     }
 }
 
-/// Reads one page into `list`; the name of the next page, if there is one.
-fn read(text: &str, list: &mut List) -> Result<Option<String>, Failed> {
-    let page = jzon::parse(text).map_err(|_| Failed::Unreadable("no JSON"))?;
+/// Parses one page into `endpoints`. Returns the name of the next page, if there is one.
+fn parse_page(text: &str, endpoints: &mut EndpointMap) -> Result<Option<String>, ListError> {
+    let page = jzon::parse(text).map_err(|_| ListError::Malformed("no JSON"))?;
     let Json::Object(appliances) = &page["appliances"] else {
-        return Err(Failed::Unreadable("no table of appliances"));
+        return Err(ListError::Malformed("no table of appliances"));
     };
     for (id, body) in appliances.iter() {
-        // One that can't be read is as good as not listed.
-        if let Some(entry) = entry(body) {
-            list.insert(id.into(), entry);
+        // One that can't be parsed is as good as not listed.
+        if let Some(endpoint) = parse_endpoint(body) {
+            endpoints.insert(id.into(), endpoint);
         }
     }
     Ok(page["next"].as_str().map(str::to_owned))
 }
 
-fn entry(body: &Json) -> Option<Entry> {
-    Some(Entry {
+fn parse_endpoint(body: &Json) -> Option<Endpoint> {
+    let is_ready = body["state"].as_str() == Some("ready");
+    Some(Endpoint {
         service: body["service"].as_str()?.into(),
         address: body["address"].as_str()?.parse().ok()?,
         zone: body["zone"].as_str()?.into(),
         version: body["edition"].as_str()?.into(),
-        berths: body["berths"].as_u32().unwrap_or(1),
+        concurrency: body["berths"].as_u32().unwrap_or(1),
         // What it does not say to be ready is not sent to.
-        state: if body["state"].as_str() == Some("ready") {
-            State::Ready
+        state: if is_ready {
+            EndpointState::Ready
         } else {
-            State::Closing
+            EndpointState::Draining
         },
-        cold: body["cold_left"]
+        warmup_left: body["cold_left"]
             .as_str()
-            .and_then(durations::read)
+            .and_then(durations::parse)
             .unwrap_or(0),
     })
 }
-
-/// When a list was read.
-pub struct Reading {
-    pub at: Micros,
-    pub list: List,
-}
-
-impl Reading {
-    pub fn new(list: List) -> Reading {
-        Reading { at: now(), list }
-    }
-}
--- /dev/null
+++ b/crates/gateway/src/proxy/attempt.rs
@@ -0,0 +1,300 @@
+//! One attempt: a request sent to one endpoint, and how that ended.
+
+use super::responses::ProxyResponse;
+use super::state::{is_serving_version, ProxyState};
+use super::upstream_connection::{CancelHandle, SendError, UpstreamConnection};
+use super::upstream_request::UpstreamRequest;
+use super::{upstream_response, Proxy};
+use crate::clock::{duration, now, Micros};
+use magpieline_config::route_table::Route;
+use magpieline_http1::attempt_outcome::AttemptOutcome;
+use magpieline_load_balancer::endpoint_selection::{EndpointSignal, ListedEndpoint, ReportedLoad};
+use magpieline_rollout::trial::{self, stable_hash, AttemptEnd};
+use std::net::SocketAddrV4;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::time::timeout;
+
+/// An endpoint takes a connection within a few milliseconds; one that is dead or whose queue is full says nothing.
+const CONNECT_TIMEOUT: Micros = 250_000;
+/// A connection becomes free within a moment after a response, unless its endpoint has answered without reading all of the
+/// request and does not read the rest.
+const FREE_TIMEOUT: Micros = 1_000_000;
+
+/// What an attempt is for, and by what it was decided on.
+pub(super) struct Attempt {
+    /// The endpoint's handle, which may pass to another endpoint while a connection comes up.
+    pub(super) endpoint: usize,
+    /// The endpoint's id.
+    pub(super) id: Arc<str>,
+    pub(super) address: SocketAddrV4,
+    pub(super) service: Arc<str>,
+    pub(super) route: Arc<Route>,
+    /// The version of the configuration by which it goes there.
+    pub(super) config_version: u64,
+    /// It goes to a version on trial.
+    pub(super) is_trial: bool,
+    /// It is the first attempt of its request.
+    pub(super) is_first: bool,
+    /// The endpoint was warming up when it was chosen.
+    pub(super) is_warming_up: bool,
+}
+
+/// How an attempt ended.
+pub(super) struct AttemptResult {
+    pub(super) outcome: AttemptOutcome,
+    /// The response for the client, if there is one.
+    pub(super) response: Option<ProxyResponse>,
+}
+
+impl AttemptResult {
+    fn without_response(outcome: AttemptOutcome) -> AttemptResult {
+        AttemptResult {
+            outcome,
+            response: None,
+        }
+    }
+}
+
+/// What has come of an attempt so far, however it ends.
+#[derive(Default)]
+struct Progress {
+    load: Option<ReportedLoad>,
+    /// By this it is cancelled; none where nothing was handed to a connection.
+    cancel_handle: Option<CancelHandle>,
+    /// It was not sent for a reason that is none of the endpoint's.
+    was_withheld: bool,
+    /// The connection after a valid response, and how long its endpoint keeps it.
+    reusable: Option<(UpstreamConnection, Option<Micros>)>,
+}
+
+impl Progress {
+    /// The time is over. Where no byte of the request has left by now, none will.
+    fn on_timeout(&mut self) -> AttemptResult {
+        let is_unsent = self.cancel_handle.take().is_none_or(CancelHandle::cancel);
+        AttemptResult::without_response(match is_unsent {
+            true => AttemptOutcome::NotSent,
+            false => AttemptOutcome::TimedOut,
+        })
+    }
+
+    /// Returns what an outcome says of the endpoint.
+    fn signal(&self, outcome: AttemptOutcome) -> EndpointSignal {
+        match outcome {
+            AttemptOutcome::Answered { status } if status < 500 => EndpointSignal::Served,
+            AttemptOutcome::Answered { .. } => EndpointSignal::Failed,
+            AttemptOutcome::Rejected => EndpointSignal::Rejected,
+            AttemptOutcome::NotSent if self.was_withheld => EndpointSignal::Inconclusive,
+            AttemptOutcome::NotSent => EndpointSignal::NoConnection,
+            AttemptOutcome::ConnectionLost => EndpointSignal::ConnectionLost,
+            AttemptOutcome::InvalidResponse => EndpointSignal::InvalidResponse,
+            AttemptOutcome::TimedOut => EndpointSignal::TimedOut,
+        }
+    }
+}
+
+/// Counts an attempt while it is in flight, however it ends.
+struct InFlight(Arc<Proxy>);
+
+impl InFlight {
+    fn new(proxy: Arc<Proxy>) -> InFlight {
+        proxy.attempts_in_flight.fetch_add(1, Ordering::Relaxed);
+        InFlight(proxy)
+    }
+}
+
+impl Drop for InFlight {
+    fn drop(&mut self) {
+        self.0.attempts_in_flight.fetch_sub(1, Ordering::Relaxed);
+        self.0.attempt_ended.notify_waiters();
+    }
+}
+
+/// Starts an attempt; its result comes by `results`. It goes on even when nobody waits for it any more: an endpoint at work is
+/// not interrupted.
+pub(super) fn start(
+    proxy: Arc<Proxy>,
+    attempt: Attempt,
+    request: Arc<UpstreamRequest>,
+    results: UnboundedSender<AttemptResult>,
+) {
+    let sent_at = now();
+    let number = proxy
+        .state()
+        .load_balancer
+        .on_sent(sent_at, attempt.endpoint);
+    let in_flight = InFlight::new(proxy.clone());
+    tokio::spawn(async move {
+        let _in_flight = in_flight;
+        let mut progress = Progress::default();
+        let left = duration(request.deadline.saturating_sub(sent_at));
+        let result = timeout(left, run(&proxy, &attempt, &request, &mut progress)).await;
+        let result = result.unwrap_or_else(|_| progress.on_timeout());
+        {
+            let mut state = proxy.state();
+            let elapsed = now().saturating_sub(sent_at);
+            report_to_trial(&mut state, &attempt, result.outcome, elapsed);
+            let signal = progress.signal(result.outcome);
+            state
+                .load_balancer
+                .on_end(now(), attempt.endpoint, number, signal, progress.load);
+        }
+        let _ = results.send(result);
+        drop(request);
+        // Nobody waits for this any more.
+        if let Some((connection, keep_alive)) = progress.reusable.take() {
+            keep_connection(&proxy, &attempt, connection, keep_alive).await;
+        }
+    });
+}
+
+/// Sends a request over a kept connection, or a new one if there is none, and reads the response.
+async fn run(
+    proxy: &Arc<Proxy>,
+    attempt: &Attempt,
+    request: &UpstreamRequest,
+    progress: &mut Progress,
+) -> AttemptResult {
+    loop {
+        let kept = proxy.pool().take(&attempt.id);
+        let is_new = kept.is_none();
+        let connection = match kept {
+            Some(connection) => Some(connection),
+            None => connect(proxy, attempt.address).await,
+        };
+        let Some(mut connection) = connection else {
+            return AttemptResult::without_response(AttemptOutcome::NotSent);
+        };
+        let sent = match is_still_allowed(proxy, attempt, request) {
+            true => request.for_endpoint(&attempt.id),
+            false => None,
+        };
+        let Some(sent) = sent else {
+            progress.was_withheld = true;
+            return AttemptResult::without_response(AttemptOutcome::NotSent);
+        };
+        progress.cancel_handle = Some(connection.cancel_handle());
+        let outcome = match connection.send(sent).await {
+            Ok(response) => {
+                let response = upstream_response::read(request, response).await;
+                progress.load = response.load;
+                if response.is_reusable {
+                    progress.reusable = Some((connection, response.keep_alive));
+                }
+                return AttemptResult {
+                    outcome: response.outcome,
+                    response: response.response,
+                };
+            }
+            // A kept connection that had ended is no sign of anything.
+            Err(SendError::NotSent) if !is_new => {
+                progress.cancel_handle = None;
+                continue;
+            }
+            Err(SendError::NotSent) => AttemptOutcome::NotSent,
+            Err(SendError::InvalidResponse) => AttemptOutcome::InvalidResponse,
+            Err(SendError::ConnectionLost) => AttemptOutcome::ConnectionLost,
+        };
+        return AttemptResult::without_response(outcome);
+    }
+}
+
+async fn connect(proxy: &Proxy, address: SocketAddrV4) -> Option<UpstreamConnection> {
+    let stream = (proxy.connector)(address, CONNECT_TIMEOUT).await.ok()?;
+    UpstreamConnection::handshake(stream).await
+}
+
+/// Returns what is listed of an attempt's endpoint, unless its handle is another endpoint's by now.
+fn listed<'a>(state: &'a ProxyState, attempt: &Attempt) -> Option<&'a ListedEndpoint> {
+    let listed = state.load_balancer.get(attempt.endpoint)?;
+    (listed.id == attempt.id).then_some(listed)
+}
+
+/// Whether a request may still be written to the endpoint that was chosen for it: what was known then may have changed while
+/// the connection came up.
+fn is_still_allowed(proxy: &Proxy, attempt: &Attempt, request: &UpstreamRequest) -> bool {
+    let state = proxy.state();
+    let Some(listed) = listed(&state, attempt).filter(|listed| !listed.is_draining) else {
+        return false;
+    };
+    is_version_allowed(&state, attempt, &listed.version)
+        && is_route_current(&state, attempt, request)
+        && now() < request.deadline
+}
+
+fn is_version_allowed(state: &ProxyState, attempt: &Attempt, version: &str) -> bool {
+    let part = state.rollouts.get(&*attempt.service);
+    let is_on_trial = attempt.is_trial && part.is_some_and(|part| part.target_version == version);
+    is_on_trial || is_serving_version(state.services.get(&*attempt.service), version)
+}
+
+/// Whether the configuration in force sends the request to the same service, and is as sure that it may run again.
+fn is_route_current(state: &ProxyState, attempt: &Attempt, request: &UpstreamRequest) -> bool {
+    let Some(config) = &state.config else {
+        return false;
+    };
+    if config.version == attempt.config_version {
+        return true;
+    }
+    let Some(route) = config.routes().find(request.host(), request.uri.path()) else {
+        return false;
+    };
+    route.idempotency == attempt.route.idempotency
+        && route
+            .destinations
+            .iter()
+            .any(|destination| destination.service == attempt.service)
+}
+
+/// Tells the service's trial, if there is one, how an attempt ended.
+fn report_to_trial(
+    state: &mut ProxyState,
+    attempt: &Attempt,
+    outcome: AttemptOutcome,
+    elapsed: Micros,
+) {
+    let Some(version) = listed(state, attempt).map(|listed| listed.version.clone()) else {
+        return;
+    };
+    let Some(part) = state.rollouts.get_mut(&*attempt.service) else {
+        return;
+    };
+    let end = match outcome {
+        AttemptOutcome::Answered { status } if status < 500 => AttemptEnd::Served,
+        AttemptOutcome::Answered { .. } => AttemptEnd::Failed,
+        AttemptOutcome::TimedOut => AttemptEnd::TimedOut,
+        // A crash, a cut or a garbled response is no version's doing.
+        AttemptOutcome::Rejected
+        | AttemptOutcome::NotSent
+        | AttemptOutcome::ConnectionLost
+        | AttemptOutcome::InvalidResponse => AttemptEnd::Inconclusive,
+    };
+    part.trial.on_outcome(trial::AttemptOutcome {
+        on_trial: *version == *part.target_version,
+        route: stable_hash(&attempt.route.name),
+        endpoint: stable_hash(&attempt.id) as u32,
+        is_first: attempt.is_first,
+        end,
+        on_time: end == AttemptEnd::Served && elapsed <= attempt.route.latency_target,
+        warming_up: attempt.is_warming_up,
+        elapsed,
+    });
+}
+
+/// Keeps a connection for further requests, once it is free.
+async fn keep_connection(
+    proxy: &Proxy,
+    attempt: &Attempt,
+    mut connection: UpstreamConnection,
+    keep_alive: Option<Micros>,
+) {
+    let is_free = timeout(duration(FREE_TIMEOUT), connection.ready()).await;
+    if !is_free.unwrap_or(false) {
+        return;
+    }
+    let is_listed = listed(&proxy.state(), attempt).is_some_and(|listed| !listed.is_draining);
+    if is_listed {
+        proxy.pool().put(attempt.id.clone(), connection, keep_alive);
+    }
+}
--- a/crates/gateway/src/proxy/client_connection.rs
+++ b/crates/gateway/src/proxy/client_connection.rs
@@ -1,15 +1,17 @@
-//! Clients' connections: http1's doorway between a stream and hyper, which sees no byte before it was checked.
+//! Clients' connections: [`RequestFraming`] between a stream and hyper, which sees no byte before it was checked.
 //!
-//! The task of a connection reads its stream whether hyper wants to read or not, shows hyper one request at a time,
-//! takes all that hyper writes, and has requests started early. What hyper must not answer is answered here, after
-//! hyper has answered all that came before.
+//! The task of a connection reads its stream whether hyper wants to read or not, shows hyper one request at a time, takes
+//! all that hyper writes, and has requests started early. What hyper must not answer is answered here, after hyper has
+//! answered all that came before.
 
-use super::request_handler::Reply;
-use crate::clock::{now, span, Micros};
-use crate::net::poll_some;
+use super::responses::ProxyResponse;
+use crate::clock::{duration, now, Micros};
+use crate::net::poll_read_some;
 use hyper::body::Body;
-use magpieline_http1::framing::request_framing::{Bounds, Doorway, Early, Stand};
-use magpieline_http1::framing::Wrong;
+use magpieline_http1::framing::request_framing::{
+    ConnectionStatus, EarlyRequest, RequestFraming, RequestLimits,
+};
+use magpieline_http1::framing::FramingError;
 use std::collections::VecDeque;
 use std::future::{poll_fn, Future};
 use std::io;
@@ -20,109 +22,109 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A client that leaves is told so by an answer; one that sends nothing keeps the process no longer than this.
-pub const LAST_IDLE: Micros = 500_000;
-/// After the last answer a connection is read until its client ends it or sends nothing for so long: bytes left unread
-/// would reset it, and the answer might be lost with it. A client in the middle of a body may send on for a while.
-const LAST_READ: Micros = 500_000;
-/// But for so long at most.
-const LAST_READ_MOST: Micros = 3_000_000;
-/// New bounds are looked at this often at least.
-const LOOK_AGAIN: Micros = 5_000_000;
+/// At shutdown a client is told so by a response; one that sends nothing keeps the process no longer than this.
+pub(super) const IDLE_AT_SHUTDOWN: Micros = 500_000;
+/// After the last response a connection is read until its client ends it or sends nothing for so long: bytes left unread
+/// would reset it, and the response might be lost with it. A client in the middle of a body may send on for a while,
+const LINGER_IDLE: Micros = 500_000;
+/// but for so long at most.
+const MAX_LINGER: Micros = 3_000_000;
+/// New limits are looked at this often at least.
+const REFRESH_INTERVAL: Micros = 5_000_000;
 /// Shown to hyper at once; it doubles its buffer whenever 8 KiB are filled.
-const MOST_SHOWN: usize = (8 << 10) - 1;
-/// No more requests are started early while answers of so many bytes wait on a connection.
-const MOST_WAITING: usize = 256 << 10;
-
-/// A request that was started early. Dropped, it is given up; what an appliance works on goes on.
-pub struct Started {
-    task: JoinHandle<Reply>,
-    /// Its answer, once it was looked at.
-    reply: Option<Reply>,
+const MAX_SHOWN: usize = (8 << 10) - 1;
+/// No more requests are started early while responses of so many bytes wait on a connection.
+const MAX_WAITING_BYTES: usize = 256 << 10;
+
+/// The response to a request that was started early. Dropped, the request is given up; what an endpoint works on goes on.
+pub(super) struct EarlyResponse {
+    task: JoinHandle<ProxyResponse>,
+    /// The response, once it was looked at.
+    response: Option<ProxyResponse>,
 }
 
-impl Started {
-    pub fn new(task: JoinHandle<Reply>) -> Started {
-        Started { task, reply: None }
+impl EarlyResponse {
+    pub(super) fn new(task: JoinHandle<ProxyResponse>) -> EarlyResponse {
+        EarlyResponse {
+            task,
+            response: None,
+        }
     }
 
-    /// Its answer; none if it broke.
-    pub async fn answer(mut self) -> Option<Reply> {
-        match self.reply.take() {
-            Some(reply) => Some(reply),
+    /// Waits for the response; none if its task panicked.
+    pub(super) async fn response(mut self) -> Option<ProxyResponse> {
+        match self.response.take() {
+            Some(response) => Some(response),
             None => (&mut self.task).await.ok(),
         }
     }
 
-    /// Bytes of its answer if it waits already.
-    fn waiting(&mut self, cx: &mut Context<'_>) -> usize {
-        if self.reply.is_none() && self.task.is_finished() {
-            if let Poll::Ready(Ok(reply)) = Pin::new(&mut self.task).poll(cx) {
-                self.reply = Some(reply);
+    /// Returns the bytes of the response if it waits already.
+    fn waiting_bytes(&mut self, cx: &mut Context<'_>) -> usize {
+        if self.response.is_none() && self.task.is_finished() {
+            if let Poll::Ready(Ok(response)) = Pin::new(&mut self.task).poll(cx) {
+                self.response = Some(response);
             }
         }
-        self.reply
-            .as_ref()
-            .map_or(0, |r| r.body().size_hint().lower() as usize)
+        let bytes = |response: &ProxyResponse| response.body().size_hint().lower() as usize;
+        self.response.as_ref().map_or(0, bytes)
     }
 }
 
-impl Drop for Started {
+impl Drop for EarlyResponse {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 /// How the serving of a connection ended.
-enum End {
-    /// hyper is done with it, or it broke.
+enum ServeEnd {
+    /// hyper has ended it, or it was lost.
     Served,
-    Stood(Stand),
+    /// The framing has ended it.
+    Framing(ConnectionStatus),
 }
 
-/// A client's connection, shared by its task, hyper's reading and writing, and the request in work.
-pub struct Visit<S> {
+/// A client's connection, shared by its task, hyper's reading and writing, and the current request.
+pub(super) struct ClientConnection<S> {
     inner: Mutex<Inner<S>>,
 }
 
 struct Inner<S> {
     stream: S,
-    door: Doorway,
-    bounds: Bounds,
+    framing: RequestFraming,
+    limits: RequestLimits,
     now: Micros,
-    /// What hyper has written and the stream has not taken yet, from `sent`.
-    out: Vec<u8>,
-    sent: usize,
-    ended: bool,
-    broken: Option<io::ErrorKind>,
-    /// Nothing is there to be read for now; the stream tells when there is.
-    dry: bool,
+    /// What hyper has written and the stream has not taken yet, from `written` on.
+    output: Vec<u8>,
+    written: usize,
+    is_at_end: bool,
+    read_error: Option<io::ErrorKind>,
+    /// Nothing can be read for now; the stream wakes the task when there is.
+    is_drained: bool,
     /// hyper wanted to read when there was nothing for it.
-    hungry: bool,
-    /// Requests started early, in their order.
-    early: VecDeque<(u64, Started)>,
+    is_reader_waiting: bool,
+    /// Requests started early, by their numbers, in their order.
+    early: VecDeque<(u64, EarlyResponse)>,
 }
 
-/// What hyper reads and writes.
-pub struct Side<S>(pub Arc<Visit<S>>);
-
-impl<S: AsyncRead + AsyncWrite + Unpin> Visit<S> {
-    pub fn new(stream: S, bounds: Bounds) -> Arc<Visit<S>> {
+impl<S: AsyncRead + AsyncWrite + Unpin> ClientConnection<S> {
+    pub(super) fn new(stream: S, limits: RequestLimits) -> Arc<ClientConnection<S>> {
         let now = now();
         let inner = Inner {
             stream,
-            door: Doorway::new(now),
-            bounds,
+            framing: RequestFraming::new(now),
+            limits,
             now,
-            out: Vec::new(),
-            sent: 0,
-            ended: false,
-            broken: None,
-            dry: false,
-            hungry: false,
+            output: Vec::new(),
+            written: 0,
+            is_at_end: false,
+            read_error: None,
+            is_drained: false,
+            is_reader_waiting: false,
             early: VecDeque::new(),
         };
-        Arc::new(Visit {
+        Arc::new(ClientConnection {
             inner: Mutex::new(inner),
         })
     }
@@ -131,259 +133,289 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// hyper comes to a request: when it was taken, and its answer if it was started early.
-    pub fn begin(&self) -> (Micros, Option<Started>) {
+    /// Begins the current request. Returns when it was received, and its response if it was started early.
+    pub(super) fn begin_request(&self) -> (Micros, Option<EarlyResponse>) {
         let mut inner = self.inner();
-        let Some((number, taken)) = inner.door.work() else {
+        let Some((number, received_at)) = inner.framing.current() else {
             return (now(), None);
         };
-        while inner.early.front().is_some_and(|(n, _)| *n < number) {
+        while inner
+            .early
+            .front()
+            .is_some_and(|(early, _)| *early < number)
+        {
             inner.early.pop_front();
         }
-        let early = match inner.early.front() {
-            Some((n, _)) if *n == number => inner.early.pop_front().map(|(_, started)| started),
-            _ => None,
-        };
-        (taken, early)
+        if inner
+            .early
+            .front()
+            .is_none_or(|(early, _)| *early != number)
+        {
+            return (received_at, None);
+        }
+        let early = inner.early.pop_front();
+        (received_at, early.map(|(_, response)| response))
     }
 
-    /// The request in work is safe: those behind it may be started early.
-    pub fn safe(&self) {
+    /// Takes note that the current request is idempotent: those behind it may be started early.
+    pub(super) fn mark_idempotent(&self) {
         let mut inner = self.inner();
-        if let Some((number, _)) = inner.door.work() {
-            inner.door.safe(number);
+        if let Some((number, _)) = inner.framing.current() {
+            inner.framing.mark_idempotent(number);
         }
     }
 
-    /// The request in work has its answer. Says whether requests behind it are on their way already.
-    pub fn answered(&self) -> bool {
+    /// Takes note that the current request has its response. Returns whether requests behind it are in progress already.
+    pub(super) fn finish_request(&self) -> bool {
         let mut inner = self.inner();
-        inner.door.answered();
+        inner.framing.on_answered();
         !inner.early.is_empty()
     }
 
-    /// Why the body of the request in work did not come.
-    pub fn fault(&self) -> Option<Wrong> {
-        self.inner().door.fault()
+    /// Returns why the body of the current request did not come.
+    pub(super) fn body_error(&self) -> Option<FramingError> {
+        self.inner().framing.body_error()
     }
 
-    /// Serves the connection to its end. `left` is done when the process leaves; `start` starts a request early if
-    /// it may be.
-    pub async fn run(
+    /// Serves the connection to its end. `shutdown` is done when the proxy shuts down; `start` starts a request early if it may
+    /// be.
+    pub(super) async fn run(
         &self,
         serving: impl Future,
-        bounds: impl Fn() -> Bounds,
-        left: impl Future<Output = ()>,
-        mut start: impl FnMut(Early<'_>) -> Option<Started>,
+        limits: impl Fn() -> RequestLimits,
+        shutdown: impl Future<Output = ()>,
+        mut start: impl FnMut(EarlyRequest<'_>) -> Option<EarlyResponse>,
     ) {
-        let (mut serving, mut left, mut leaving) = (pin!(serving), pin!(left), false);
-        let (mut clock, mut armed) = (pin!(sleep(span(LOOK_AGAIN))), now() + LOOK_AGAIN);
+        let (mut serving, mut shutdown) = (pin!(serving), pin!(shutdown));
+        let mut is_shutting_down = false;
+        let mut timer = pin!(sleep(duration(REFRESH_INTERVAL)));
+        let mut timer_at = now() + REFRESH_INTERVAL;
         let end = poll_fn(|cx| loop {
             let mut inner = self.inner();
-            (inner.now, inner.bounds) = (now(), bounds());
-            if !leaving && left.as_mut().poll(cx).is_ready() {
-                leaving = true;
-                let by = inner.now + LAST_IDLE;
-                inner.door.leave(by);
+            (inner.now, inner.limits) = (now(), limits());
+            if !is_shutting_down && shutdown.as_mut().poll(cx).is_ready() {
+                is_shutting_down = true;
+                let by = inner.now + IDLE_AT_SHUTDOWN;
+                inner.framing.shut_down_by(by);
             }
-            if let Some(end) = inner.turn(cx) {
+            if let Some(end) = inner.read_and_write(cx) {
                 return Poll::Ready(end);
             }
             drop(inner);
             if serving.as_mut().poll(cx).is_ready() {
-                return Poll::Ready(End::Served);
+                return Poll::Ready(ServeEnd::Served);
             }
             let inner = &mut *self.inner();
-            if !leaving {
+            if !is_shutting_down {
                 inner.start_early(cx, &mut start);
             }
-            inner.settle();
-            if inner.end().is_some() || (inner.hungry && inner.has_more()) {
+            inner.advance();
+            let may_read = inner.is_reader_waiting && inner.has_something_to_read();
+            if inner.end().is_some() || may_read {
                 continue;
             }
-            let wake = inner.door.wake(&inner.bounds).min(inner.now + LOOK_AGAIN);
-            if wake < armed || armed <= inner.now {
-                armed = wake;
-                clock
-                    .as_mut()
-                    .reset(Instant::now() + span(wake.saturating_sub(inner.now)));
+            let next_timeout = inner.framing.next_timeout(&inner.limits);
+            let wake_at = next_timeout.min(inner.now + REFRESH_INTERVAL);
+            if wake_at < timer_at || timer_at <= inner.now {
+                timer_at = wake_at;
+                let left = duration(wake_at.saturating_sub(inner.now));
+                timer.as_mut().reset(Instant::now() + left);
             }
-            ready!(clock.as_mut().poll(cx));
+            ready!(timer.as_mut().poll(cx));
         })
         .await;
         self.close(end).await;
     }
 
     /// Writes what is still to be said and ends the connection in order.
-    async fn close(&self, end: End) {
-        let quiet = matches!(end, End::Stood(Stand::Idle));
-        let idle = {
+    async fn close(&self, end: ServeEnd) {
+        let was_idle = matches!(end, ServeEnd::Framing(ConnectionStatus::IdleTimeout));
+        {
             let mut inner = self.inner();
             inner.early.clear();
-            if let End::Stood(Stand::Answer(wrong)) = end {
-                inner.out.extend_from_slice(&own_answer(wrong));
-            }
-            span(inner.bounds.idle)
-        };
-        while self.inner().owes() {
-            match timeout(idle, poll_fn(|cx| self.inner().pump(cx))).await {
-                Ok(Ok(())) => {}
-                Ok(Err(_)) | Err(_) => return,
+            if let ServeEnd::Framing(ConnectionStatus::Rejected(error)) = end {
+                inner.output.extend_from_slice(&rejection(error));
             }
         }
-        let shut = poll_fn(|cx| Pin::new(&mut self.inner().stream).poll_shutdown(cx)).await;
-        if shut.is_err() || quiet || self.inner().ended {
+        if self.flush().await.is_err() {
             return;
         }
-        let most = now() + LAST_READ_MOST;
-        let mut ended = false;
-        while !ended {
-            let quiet = most.saturating_sub(now()).min(LAST_READ);
-            let read = poll_fn(|cx| poll_some(&mut self.inner().stream, cx, usize::MAX, |_| {}));
-            ended = !matches!(timeout(span(quiet), read).await, Ok(Ok(1..)));
+        let shutdown = poll_fn(|cx| Pin::new(&mut self.inner().stream).poll_shutdown(cx)).await;
+        if shutdown.is_ok() && !was_idle && !self.inner().is_at_end {
+            self.linger().await;
+        }
+    }
+
+    /// Writes all output, unless the client takes nothing for too long.
+    async fn flush(&self) -> io::Result<()> {
+        let idle_timeout = duration(self.inner().limits.body_idle_timeout);
+        while self.inner().has_output() {
+            timeout(idle_timeout, poll_fn(|cx| self.inner().poll_output(cx))).await??;
+        }
+        Ok(())
+    }
+
+    /// Reads and drops what its client still sends.
+    async fn linger(&self) {
+        let deadline = now() + MAX_LINGER;
+        loop {
+            let left = deadline.saturating_sub(now()).min(LINGER_IDLE);
+            let read =
+                poll_fn(|cx| poll_read_some(&mut self.inner().stream, cx, usize::MAX, |_| {}));
+            match timeout(duration(left), read).await {
+                Ok(Ok(1..)) => {}
+                _ => return,
+            }
         }
     }
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Inner<S> {
-    /// Reads and writes what can be, lets time pass, and goes on where an answer is written.
-    fn turn(&mut self, cx: &mut Context<'_>) -> Option<End> {
-        self.dry = false;
+    /// Reads and writes what can be, lets time pass, and goes on where a response is written.
+    fn read_and_write(&mut self, cx: &mut Context<'_>) -> Option<ServeEnd> {
+        self.is_drained = false;
         self.fill(cx);
-        if let Poll::Ready(Err(_)) = self.pump(cx) {
-            return Some(End::Served);
+        if let Poll::Ready(Err(_)) = self.poll_output(cx) {
+            return Some(ServeEnd::Served);
         }
-        let Inner {
-            door, now, bounds, ..
-        } = self;
-        door.tick(*now, bounds);
-        self.settle();
-        self.hungry = false;
+        self.framing.on_tick(self.now, &self.limits);
+        self.advance();
+        self.is_reader_waiting = false;
         self.end()
     }
 
-    fn end(&self) -> Option<End> {
-        match self.door.stand() {
-            Stand::Open => None,
-            stand => Some(End::Stood(stand)),
+    fn end(&self) -> Option<ServeEnd> {
+        match self.framing.status() {
+            ConnectionStatus::Open => None,
+            status => Some(ServeEnd::Framing(status)),
         }
     }
 
-    /// Reads all that is there and may be held.
+    /// Reads all that has come and may be held.
     fn fill(&mut self, cx: &mut Context<'_>) {
-        while !self.ended && !self.dry && self.broken.is_none() {
+        while !self.is_at_end && !self.is_drained && self.read_error.is_none() {
             let Inner {
                 stream,
-                door,
-                bounds,
+                framing,
+                limits,
                 now,
                 ..
             } = self;
-            let room = door.room(bounds);
-            if room == 0 {
+            let capacity = framing.capacity(limits);
+            if capacity == 0 {
                 return;
             }
-            match poll_some(stream, cx, room, |bytes| door.feed(*now, bounds, bytes)) {
-                Poll::Pending => self.dry = true,
-                Poll::Ready(Ok(0)) => self.ended = true,
+            match poll_read_some(stream, cx, capacity, |bytes| {
+                framing.feed(*now, limits, bytes)
+            }) {
+                Poll::Pending => self.is_drained = true,
+                Poll::Ready(Ok(0)) => self.is_at_end = true,
                 Poll::Ready(Ok(_)) => {}
-                Poll::Ready(Err(e)) => self.broken = Some(e.kind()),
+                Poll::Ready(Err(error)) => self.read_error = Some(error.kind()),
             }
         }
     }
 
-    /// Goes on to the next request if the answer to this one is written.
-    fn settle(&mut self) {
-        if !self.owes() {
-            self.door.settle(self.now, &self.bounds);
+    /// Goes on to the next request if the response to this one is written.
+    fn advance(&mut self) {
+        if !self.has_output() {
+            self.framing.advance(self.now, &self.limits);
         }
     }
 
     fn start_early(
         &mut self,
         cx: &mut Context<'_>,
-        start: &mut impl FnMut(Early<'_>) -> Option<Started>,
+        start: &mut impl FnMut(EarlyRequest<'_>) -> Option<EarlyResponse>,
     ) {
-        while self
-            .early
-            .iter_mut()
-            .map(|(_, s)| s.waiting(cx))
-            .sum::<usize>()
-            < MOST_WAITING
-        {
-            let Some(early) = self.door.early() else {
+        while self.waiting_bytes(cx) < MAX_WAITING_BYTES {
+            let Some(request) = self.framing.next_early() else {
                 return;
             };
-            let number = early.number;
-            let Some(started) = start(early) else { return };
-            self.early.push_back((number, started));
-            self.door.safe(number);
+            let number = request.number;
+            let Some(response) = start(request) else {
+                return;
+            };
+            self.early.push_back((number, response));
+            self.framing.mark_idempotent(number);
         }
     }
 
-    fn has_more(&self) -> bool {
-        !self.door.shown().is_empty()
-            || self.door.fault().is_some()
-            || self.ended
-            || self.broken.is_some()
+    fn waiting_bytes(&mut self, cx: &mut Context<'_>) -> usize {
+        self.early
+            .iter_mut()
+            .map(|(_, response)| response.waiting_bytes(cx))
+            .sum()
     }
 
-    fn owes(&self) -> bool {
-        self.sent < self.out.len()
+    /// Whether hyper can read something, or that there is nothing more.
+    fn has_something_to_read(&self) -> bool {
+        !self.framing.visible().is_empty()
+            || self.framing.body_error().is_some()
+            || self.is_at_end
+            || self.read_error.is_some()
     }
 
-    /// Writes what is owed, as far as the stream takes it. Ready once some was written or none is owed.
-    fn pump(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let before = self.sent;
-        while self.sent < self.out.len() {
-            match Pin::new(&mut self.stream).poll_write(cx, &self.out[self.sent..]) {
+    fn has_output(&self) -> bool {
+        self.written < self.output.len()
+    }
+
+    /// Writes output, as far as the stream takes it. Ready once some was written or there is none.
+    fn poll_output(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let before = self.written;
+        while self.has_output() {
+            let rest = &self.output[self.written..];
+            match Pin::new(&mut self.stream).poll_write(cx, rest) {
                 Poll::Ready(Ok(0)) => return Poll::Ready(Err(io::ErrorKind::WriteZero.into())),
-                Poll::Ready(Ok(some)) => self.sent += some,
-                Poll::Ready(Err(e)) => return Poll::Ready(Err(e)),
-                Poll::Pending if self.sent == before => return Poll::Pending,
+                Poll::Ready(Ok(len)) => self.written += len,
+                Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
+                Poll::Pending if self.written == before => return Poll::Pending,
                 Poll::Pending => return Poll::Ready(Ok(())),
             }
         }
-        (self.out, self.sent) = (Vec::new(), 0);
+        (self.output, self.written) = (Vec::new(), 0);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> hyper::rt::Read for Side<S> {
+/// What hyper reads and writes.
+pub(super) struct ClientIo<S>(pub(super) Arc<ClientConnection<S>>);
+
+impl<S: AsyncRead + AsyncWrite + Unpin> hyper::rt::Read for ClientIo<S> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut into: hyper::rt::ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let inner = &mut *self.0.inner();
-        if inner.door.shown().is_empty() {
-            inner.settle();
+        if inner.framing.visible().is_empty() {
+            inner.advance();
             inner.fill(cx);
         }
-        let shown = inner.door.shown();
-        if !shown.is_empty() {
-            let some = shown.len().min(into.remaining()).min(MOST_SHOWN);
-            into.put_slice(&shown[..some]);
-            inner.door.took(inner.now, some);
+        let visible = inner.framing.visible();
+        if !visible.is_empty() {
+            let len = visible.len().min(into.remaining()).min(MAX_SHOWN);
+            into.put_slice(&visible[..len]);
+            inner.framing.consume(inner.now, len);
             return Poll::Ready(Ok(()));
         }
-        if inner.door.fault().is_some() {
+        if inner.framing.body_error().is_some() {
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
         }
-        match (inner.broken, inner.ended) {
-            (Some(kind), _) => Poll::Ready(Err(kind.into())),
-            (None, true) => Poll::Ready(Ok(())),
-            (None, false) => {
-                inner.hungry = true;
-                Poll::Pending
-            }
+        if let Some(kind) = inner.read_error {
+            return Poll::Ready(Err(kind.into()));
         }
+        if inner.is_at_end {
+            return Poll::Ready(Ok(()));
+        }
+        inner.is_reader_waiting = true;
+        Poll::Pending
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> hyper::rt::Write for Side<S> {
-    /// Takes all of it: so it is known that hyper is done with a request once it was answered and nothing is owed.
-    /// No more than one answer is owed at a time.
+impl<S: AsyncRead + AsyncWrite + Unpin> hyper::rt::Write for ClientIo<S> {
+    /// Takes all of it: so it is known that hyper is done with a request once it was answered and there is no output.
+    /// No more than one response waits to be written at a time.
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -391,37 +423,39 @@
     ) -> Poll<io::Result<usize>> {
         let inner = &mut *self.0.inner();
         let mut rest = bytes;
-        while !rest.is_empty() && !inner.owes() {
+        while !rest.is_empty() && !inner.has_output() {
             match Pin::new(&mut inner.stream).poll_write(cx, rest)? {
                 Poll::Ready(0) => return Poll::Ready(Err(io::ErrorKind::WriteZero.into())),
-                Poll::Ready(some) => rest = &rest[some..],
+                Poll::Ready(len) => rest = &rest[len..],
                 Poll::Pending => break,
             }
         }
-        inner.out.extend_from_slice(rest);
+        inner.output.extend_from_slice(rest);
         Poll::Ready(Ok(bytes.len()))
     }
+
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
+
     /// The connection is ended by its task.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
 }
 
-/// The answer to what can't be taken, and the last on its connection.
-fn own_answer(wrong: Wrong) -> Vec<u8> {
-    let (status, text) = (wrong.status(), wrong.text());
+/// Returns the response to what can't be taken, the last on its connection.
+fn rejection(error: FramingError) -> Vec<u8> {
+    let (status, text) = (error.status(), error.text());
     let reason = match status {
         408 => "Request Timeout",
         431 => "Request Header Fields Too Large",
         _ => "Bad Request",
     };
     let length = text.len() + 1;
-    format!(
+    let response = format!(
         "HTTP/1.1 {status} {reason}\r\ncontent-type: text/plain\r\ncontent-length: {length}\r\n\
          connection: close\r\n\r\n{text}\n"
-    )
-    .into()
+    );
+    response.into()
 }
--- a/crates/gateway/src/proxy/connection_pool.rs
+++ b/crates/gateway/src/proxy/connection_pool.rs
@@ -1,60 +1,66 @@
-//! Connections to appliances that wait for their next request.
+//! Connections to endpoints that wait for their next request.
 
-use super::upstream_connection::Line;
+use super::upstream_connection::UpstreamConnection;
 use crate::clock::{now, Micros};
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Of the time after which an appliance closes idle connections so much is used: what is sent while it closes may
-/// have run, and an order can't be sent again.
-const OF_KEPT: f64 = 0.6;
-/// Where an appliance does not say, a connection is used again for so long.
-const UNSAID: Micros = 4_000_000;
+/// Of the time after which an endpoint closes idle connections so much is used: what is sent while it closes may have run,
+/// and a request that is not idempotent can't be sent again.
+const USED_KEEP_ALIVE: f64 = 0.6;
+/// Where an endpoint does not say, a connection is kept for so long.
+const DEFAULT_KEEP_ALIVE: Micros = 4_000_000;
 
-struct Idle {
-    line: Line,
-    until: Micros,
+struct IdleConnection {
+    connection: UpstreamConnection,
+    expires_at: Micros,
 }
 
-/// Idle connections by their appliances' ids: a handle passes to another appliance, an id never does.
+/// Idle connections by the ids of their endpoints: an address passes to another endpoint, an id never does.
 #[derive(Default)]
-pub struct Pool {
-    idle: HashMap<Arc<str>, VecDeque<Idle>>,
+pub(super) struct ConnectionPool {
+    idle: HashMap<Arc<str>, VecDeque<IdleConnection>>,
 }
 
-impl Pool {
-    /// The one that has been idle longest: what an appliance sent too much or too late has come by then, and has
+impl ConnectionPool {
+    /// Takes the connection that has been idle longest: what an endpoint sent too much or too late has come by then, and has
     /// ended the connection.
-    pub fn take(&mut self, appliance: &str) -> Option<Line> {
-        let (lines, now) = (self.idle.get_mut(appliance)?, now());
-        while let Some(idle) = lines.pop_front() {
-            if now < idle.until && idle.line.is_ready() {
-                return Some(idle.line);
+    pub(super) fn take(&mut self, endpoint: &str) -> Option<UpstreamConnection> {
+        let (connections, now) = (self.idle.get_mut(endpoint)?, now());
+        while let Some(idle) = connections.pop_front() {
+            if now < idle.expires_at && idle.connection.is_ready() {
+                return Some(idle.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection; `kept` is the time after which its appliance says that it closes it.
-    pub fn put(&mut self, appliance: Arc<str>, line: Line, kept: Option<Micros>) {
-        let span = kept.map_or(UNSAID, |k| (k as f64 * OF_KEPT) as Micros);
-        self.idle.entry(appliance).or_default().push_back(Idle {
-            line,
-            until: now() + span,
-        });
+    /// Keeps a connection; `keep_alive` is the time after which its endpoint says that it closes it.
+    pub(super) fn put(
+        &mut self,
+        endpoint: Arc<str>,
+        connection: UpstreamConnection,
+        keep_alive: Option<Micros>,
+    ) {
+        let used = |keep_alive| (keep_alive as f64 * USED_KEEP_ALIVE) as Micros;
+        let idle = IdleConnection {
+            connection,
+            expires_at: now() + keep_alive.map_or(DEFAULT_KEEP_ALIVE, used),
+        };
+        self.idle.entry(endpoint).or_default().push_back(idle);
     }
 
-    /// Ends all idle connections of an appliance.
-    pub fn drop_all(&mut self, appliance: &str) {
-        self.idle.remove(appliance);
+    /// Closes all idle connections of an endpoint.
+    pub(super) fn remove_endpoint(&mut self, endpoint: &str) {
+        self.idle.remove(endpoint);
     }
 
-    /// Ends what has been idle for too long.
-    pub fn sweep(&mut self) {
+    /// Closes what has been idle for too long.
+    pub(super) fn remove_expired(&mut self) {
         let now = now();
-        self.idle.retain(|_, lines| {
-            lines.retain(|idle| now < idle.until && !idle.line.is_closed());
-            !lines.is_empty()
+        self.idle.retain(|_, connections| {
+            connections.retain(|idle| now < idle.expires_at && !idle.connection.is_closed());
+            !connections.is_empty()
         });
     }
 }
--- a/crates/gateway/src/proxy/fallback_discovery.rs
+++ b/crates/gateway/src/proxy/fallback_discovery.rs
@@ -1,53 +1,61 @@
-//! The platform's list read by the counter itself, while no leader tells it of changes.
+//! Reads the platform's list of endpoints while no leader tells this proxy of changes.
 
-use super::Counter;
-use crate::clock::{now, span, Micros};
-use crate::platform_client::Carrier;
-use magpieline_control_plane::messages::Listing;
+use super::Proxy;
+use crate::clock::{self, now, Micros};
+use crate::platform_client::PlatformClient;
+use magpieline_control_plane::messages::EndpointUpdate;
 use rand::Rng;
 use std::sync::Arc;
 
-/// A list is read here when the leader has not been held for so long; spread over counters.
-const ADRIFT: Micros = 1_000_000;
+/// The list is read here when nothing was heard of endpoints for so long.
+const MAX_AGE: Micros = 1_000_000;
 /// Between two readings, at least.
-const EVERY: Micros = 1_000_000;
-/// Of the calls that the platform takes from all together so much may go to counters that read it themselves.
-const OF_CALLS: f64 = 0.5;
+const MIN_INTERVAL: Micros = 1_000_000;
+/// Of the calls that the platform takes from all together so much may go to proxies that read the list themselves.
+const SHARE_OF_CALLS: f64 = 0.5;
 
-pub async fn run(counter: Arc<Counter>) {
-    let Some(mut carrier) = Carrier::of(&counter.settings) else {
+/// Reads the list whenever no leader is followed, for ever.
+pub(super) async fn run(proxy: Arc<Proxy>) {
+    let Some(mut platform) = PlatformClient::new(&proxy.settings) else {
         return;
     };
     loop {
-        // Counters that are cut off together must not ask in step.
-        let all = f64::from(counter.state().counters.max(1));
-        let shared = (2.0 * all / (OF_CALLS * counter.settings.borrow().carrier.per_s.max(1.0))
-            * 1e6) as Micros;
-        let pause = EVERY.max(shared);
-        let pause = rand::thread_rng().gen_range(pause / 2..pause * 3 / 2);
-        tokio::time::sleep(span(pause)).await;
-        let adrift = {
-            let state = counter.state();
-            !state.held && state.listed_at.is_none_or(|at| now() > at + ADRIFT)
-        };
-        if !adrift || counter.leaving() {
+        clock::sleep(interval(&proxy)).await;
+        if proxy.is_shutting_down() || !is_uninformed(&proxy) {
             continue;
         }
-        match carrier.list().await {
-            Ok(list) if !counter.state().held => {
-                let entries = list
-                    .into_iter()
-                    .map(|(id, entry)| (id, Some(entry)))
-                    .collect();
-                counter.take_listing(&Listing {
-                    whole: true,
-                    entries,
+        match platform.list().await {
+            Ok(endpoints) if !proxy.state().is_following => {
+                let endpoints = endpoints.into_iter();
+                proxy.apply_endpoints(&EndpointUpdate {
+                    is_full: true,
+                    endpoints: endpoints
+                        .map(|(id, endpoint)| (id, Some(endpoint)))
+                        .collect(),
                 });
             }
             Ok(_) => {}
-            Err(failed) => {
-                tracing::warn!(target: "list", "The list could not be read: {failed:?}.")
+            Err(error) => {
+                tracing::warn!(target: "endpoints", "The list could not be read: {error:?}.");
             }
         }
     }
 }
+
+/// Whether no leader is followed and what is known of endpoints has become old.
+fn is_uninformed(proxy: &Proxy) -> bool {
+    let state = proxy.state();
+    let is_old = state
+        .endpoints_updated_at
+        .is_none_or(|at| now() > at + MAX_AGE);
+    !state.is_following && is_old
+}
+
+/// Returns the time until the next reading, by chance: proxies that are cut off together must not read in step.
+fn interval(proxy: &Proxy) -> Micros {
+    let proxies = f64::from(proxy.state().proxies.max(1));
+    let calls_per_second = proxy.settings.borrow().platform.calls_per_second.max(1.0);
+    let fair = (2.0 * proxies / (SHARE_OF_CALLS * calls_per_second) * 1e6) as Micros;
+    let mean = MIN_INTERVAL.max(fair);
+    rand::thread_rng().gen_range(mean / 2..mean * 3 / 2)
+}
--- /dev/null
+++ b/crates/gateway/src/proxy/listener.rs
@@ -0,0 +1,96 @@
+//! Accepts clients' connections and serves them.
+
+use super::client_connection::{ClientConnection, ClientIo, IDLE_AT_SHUTDOWN};
+use super::connector::Stream;
+use super::{request_handler, Proxy};
+use crate::clock::{self, duration, Micros};
+use crate::net;
+use hyper::service::service_fn;
+use magpieline_http1::framing::request_framing::RequestLimits;
+use std::convert::Infallible;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::JoinSet;
+use tokio::time::timeout;
+
+/// hyper reads no longer heads than this; the framing refuses those beyond the configuration's limit, which may change while a
+/// connection lives.
+const MAX_HEAD_BYTES: usize = 1 << 20;
+/// Between two tries to accept where the system has no descriptor left.
+const ACCEPT_BACKOFF: Micros = 20_000;
+/// An idle connection is probed from here on, as its client may be gone.
+const KEEPALIVE_AFTER: Duration = Duration::from_secs(10);
+
+/// Accepts connections until the proxy shuts down, then waits until all have ended.
+pub async fn run(proxy: Arc<Proxy>, listener: TcpListener) {
+    let mut connections = JoinSet::new();
+    loop {
+        tokio::select! {
+            accepted = listener.accept() => match accepted {
+                Ok((stream, _)) => drop(connections.spawn(serve_socket(proxy.clone(), stream))),
+                Err(_) => clock::sleep(ACCEPT_BACKOFF).await,
+            },
+            Some(_) = connections.join_next(), if !connections.is_empty() => {}
+            () = proxy.shutdown.notified() => break,
+        }
+    }
+    // What the system has accepted already is served; then nobody comes any more.
+    while let Ok(Ok((stream, _))) = timeout(duration(IDLE_AT_SHUTDOWN), listener.accept()).await {
+        connections.spawn(serve_socket(proxy.clone(), stream));
+    }
+    drop(listener);
+    while connections.join_next().await.is_some() {}
+}
+
+async fn serve_socket(proxy: Arc<Proxy>, stream: TcpStream) {
+    if net::configure_stream(&stream).is_err() {
+        return;
+    }
+    let _ = net::enable_keepalive(&stream, KEEPALIVE_AFTER);
+    serve_connection(proxy, stream).await;
+}
+
+/// Serves a client's connection to its end.
+pub async fn serve_connection<S: Stream + 'static>(proxy: Arc<Proxy>, stream: S) {
+    let connection = ClientConnection::new(stream, limits(&proxy));
+    let service = {
+        let (proxy, connection) = (proxy.clone(), connection.clone());
+        service_fn(move |request| {
+            let (proxy, connection) = (proxy.clone(), connection.clone());
+            async move {
+                Ok::<_, Infallible>(request_handler::handle(&proxy, &connection, request).await)
+            }
+        })
+    };
+    let mut builder = hyper::server::conn::http1::Builder::new();
+    // Its flushing of several responses at once stays off: it keeps a response back while bytes of a body are unread.
+    builder.max_buf_size(MAX_HEAD_BYTES);
+    let serving = builder.serve_connection(ClientIo(connection.clone()), service);
+    let shutdown = proxy.wait_for_shutdown();
+    connection
+        .run(
+            serving,
+            || limits(&proxy),
+            shutdown,
+            |request| request_handler::start_early(&proxy, request),
+        )
+        .await;
+}
+
+fn limits(proxy: &Proxy) -> RequestLimits {
+    let limits = proxy
+        .state()
+        .config
+        .as_ref()
+        .map(|config| config.client_limits);
+    let limits = limits.unwrap_or_default();
+    // A longer idle timeout may be in force for a client before it is here.
+    let delay = proxy.settings_at_start.guarantees.edition_time;
+    RequestLimits {
+        head_bytes: limits.header_bytes,
+        head_timeout: limits.header_timeout,
+        body_idle_timeout: limits.idle_timeout,
+        keep_alive_timeout: limits.idle_timeout.saturating_add(delay),
+    }
+}
--- a/crates/gateway/src/proxy/readiness.rs
+++ b/crates/gateway/src/proxy/readiness.rs
@@ -1,37 +1,44 @@
 //! Answers the platform's question whether new clients may come.
 
-use super::Counter;
-use crate::net::Wire;
+use super::Proxy;
+use crate::clock::{self, Micros};
+use crate::net::HyperIo;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::service::service_fn;
 use hyper::{Response, StatusCode};
 use std::convert::Infallible;
 use std::sync::Arc;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 
-pub async fn run(counter: Arc<Counter>, asked: TcpListener) {
+/// Between two tries to accept where the system has no descriptor left.
+const ACCEPT_BACKOFF: Micros = 50_000;
+
+/// Answers probes, for ever: 200 if new clients may come, 503 if not.
+pub(super) async fn run(proxy: Arc<Proxy>, listener: TcpListener) {
     loop {
-        let Ok((stream, _)) = asked.accept().await else {
-            tokio::time::sleep(std::time::Duration::from_millis(50)).await;
-            continue;
-        };
-        let counter = counter.clone();
-        tokio::spawn(async move {
-            let _ = crate::net::prepare(&stream);
-            let answer = service_fn(move |_| {
-                let status = if counter.ready() {
-                    StatusCode::OK
-                } else {
-                    StatusCode::SERVICE_UNAVAILABLE
-                };
-                let mut response = Response::new(Full::<Bytes>::default());
-                *response.status_mut() = status;
-                async move { Ok::<_, Infallible>(response) }
-            });
-            let _ = hyper::server::conn::http1::Builder::new()
-                .serve_connection(Wire(stream), answer)
-                .await;
-        });
+        match listener.accept().await {
+            Ok((stream, _)) => drop(tokio::spawn(serve(proxy.clone(), stream))),
+            Err(_) => clock::sleep(ACCEPT_BACKOFF).await,
+        }
+    }
+}
+
+async fn serve(proxy: Arc<Proxy>, stream: TcpStream) {
+    let _ = crate::net::configure_stream(&stream);
+    let service = service_fn(move |_| {
+        let response = response(proxy.is_ready());
+        async move { Ok::<_, Infallible>(response) }
+    });
+    let _ = hyper::server::conn::http1::Builder::new()
+        .serve_connection(HyperIo(stream), service)
+        .await;
+}
+
+fn response(is_ready: bool) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::default());
+    if !is_ready {
+        *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
+    response
 }
--- a/crates/gateway/src/proxy/settings_reload.rs
+++ b/crates/gateway/src/proxy/settings_reload.rs
@@ -1,16 +1,17 @@
-//! Goes along with the settings file: what it changes of the budget for further forwards.
+//! Follows the settings file: takes over new limits of the retry budget.
 
-use super::Counter;
+use super::Proxy;
 use std::sync::Arc;
 
-pub async fn run(counter: Arc<Counter>) {
-    let mut settings = counter.settings.clone();
+/// Takes over each change, for as long as the settings are watched.
+pub(super) async fn run(proxy: Arc<Proxy>) {
+    let mut settings = proxy.settings.clone();
     while settings.changed().await.is_ok() {
-        let terms = settings.borrow_and_update().terms.clone();
-        let mut state = counter.state();
-        let counters = state.counters;
+        let guarantees = settings.borrow_and_update().guarantees.clone();
+        let mut state = proxy.state();
+        let proxies = state.proxies;
         state
-            .budget
-            .retune(terms.retry_ratio, terms.retry_slack, counters);
+            .retry_budget
+            .set_limits(guarantees.retry_ratio, guarantees.retry_slack, proxies);
     }
 }
--- /dev/null
+++ b/crates/gateway/src/proxy/status.rs
@@ -0,0 +1,82 @@
+//! A proxy's view of things, for operators.
+
+use super::{Proxy, SWEEP_INTERVAL};
+use crate::clock::{self, now};
+use crate::net::FrameReader;
+use crate::view;
+use jzon::JsonValue as Json;
+use magpieline_control_plane::messages::ConnectionPurpose;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use tokio::net::{TcpListener, TcpStream};
+
+/// An operator's connection says within this time what it is for.
+const PURPOSE_TIMEOUT: clock::Micros = SWEEP_INTERVAL;
+/// Between two tries to accept where the system has no descriptor left.
+const ACCEPT_BACKOFF: clock::Micros = SWEEP_INTERVAL;
+
+/// Answers operators, for ever.
+pub(super) async fn run(proxy: Arc<Proxy>, listener: TcpListener) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => drop(tokio::spawn(answer(proxy.clone(), stream))),
+            Err(_) => clock::sleep(ACCEPT_BACKOFF).await,
+        }
+    }
+}
+
+async fn answer(proxy: Arc<Proxy>, stream: TcpStream) {
+    let (read, mut write) = stream.into_split();
+    let mut reader = FrameReader::new(read);
+    let purpose = reader.next::<ConnectionPurpose>();
+    let purpose = tokio::time::timeout(clock::duration(PURPOSE_TIMEOUT), purpose).await;
+    if let Ok(Ok(Some(ConnectionPurpose::View))) = purpose {
+        view::send(&mut write, &view(&proxy)).await;
+    }
+}
+
+/// Returns the view. Its names stay: operators script against them.
+fn view(proxy: &Proxy) -> Json {
+    let state = proxy.state();
+    let mut services = Json::new_object();
+    for service in state
+        .config
+        .iter()
+        .flat_map(|config| config.services.keys())
+    {
+        let _ = services.insert(service, view_of_service(&state, service));
+    }
+    let age_ms = |at| now().saturating_sub(at) / 1000;
+    jzon::object! {
+        node: proxy.settings_at_start.node.as_str(),
+        edition: state.stored_config().map(|stored| stored.version),
+        confirmed: state.is_confirmed,
+        leader_held: state.is_following,
+        counters: state.proxies,
+        list_ms_ago: state.endpoints_updated_at.map(age_ms),
+        in_hand: proxy.requests_in_progress.load(Ordering::Relaxed),
+        leaving: proxy.is_shutting_down(),
+        services: services
+    }
+}
+
+fn view_of_service(state: &super::ProxyState, service: &str) -> Json {
+    let versions = state.load_balancer.versions(service);
+    let versions: Vec<String> = versions.iter().map(|version| version.to_string()).collect();
+    let known = state.services.get(service);
+    let rollout = known.and_then(|known| known.rollout.as_ref());
+    let rollout = rollout.map_or(Json::Null, |rollout| {
+        jzon::object! {
+            to: rollout.target_version.as_str(),
+            phase: view::phase_name(rollout.phase),
+            order: rollout.id
+        }
+    });
+    jzon::object! {
+        listed: versions,
+        stands: known.and_then(|known| known.version.as_deref()),
+        rollout: rollout,
+        usual_ms: state.load_balancer.mean_latency(service) / 1e3,
+        further_forwards_saved: state.retry_budget.balance(service)
+    }
+}
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -5,16 +5,17 @@
 /// Waits for SIGTERM, or for Ctrl-C where a person has started the program.
 pub async fn terminated() {
     tokio::select! {
-        () = came(signal(SignalKind::terminate())) => {}
-        () = came(signal(SignalKind::interrupt())) => {}
+        () = received(signal(SignalKind::terminate())) => {}
+        () = received(signal(SignalKind::interrupt())) => {}
     }
 }
 
-async fn came(signal: std::io::Result<Signal>) {
+async fn received(signal: std::io::Result<Signal>) {
     match signal {
         Ok(mut signal) => {
             signal.recv().await;
         }
-        Err(_) => std::future::pending().await, // it can't be told of; the platform's SIGKILL ends it
+        // It can't be heard of; the platform's SIGKILL ends the process.
+        Err(_) => std::future::pending().await,
     }
 }
