--- a/crates/gateway/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -1,8 +1,9 @@
-//! A counter's first contact, with real processes on loopback: what makes it ready, and whose words it takes.
+//! A counter's first contact, with real processes on loopback: what makes it ready, and whose messages it takes.
 
 use magpieline_control_plane::delta;
 use magpieline_control_plane::messages::{
-    frame, unframe, Down, Fenced, Hello, Listing, Opening, Piece, Up,
+    decode_frame, encode_frame, ConfigChunk, ConnectionPurpose, ControllerMessage, EndpointUpdate,
+    Fenced, Hello, ProxyMessage,
 };
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for what is to come; many times what it takes where other tests take the processor.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 const EDITION: &str = r#"{"edition":7,"fleets":[{"name":"s"}],"wickets":[{"depot":"h","regulations":[{"name":"r",
 "sort":"safe","target":"1s","sorting":{"lane_prefix":"/a/"},"dispatch":{"service":"s","give_up":"9s","tries":2}}]}]}"#;
@@ -52,7 +53,7 @@
 /// The status of one call; None without an answer.
 fn status(at: SocketAddr, head: &str, body: &str) -> Option<u16> {
     let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     let length = body.len();
     let text = format!(
         "{head} HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
@@ -63,16 +64,16 @@
     answer.split(' ').nth(1)?.parse().ok()
 }
 
-/// One end of a link between agents.
-struct Link {
+/// One end of a connection between agents.
+struct Connection {
     stream: TcpStream,
     bytes: Vec<u8>,
 }
 
-impl Link {
-    fn over(stream: TcpStream) -> Link {
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
-        Link {
+impl Connection {
+    fn new(stream: TcpStream) -> Connection {
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
+        Connection {
             stream,
             bytes: Vec::new(),
         }
@@ -81,7 +82,7 @@
     /// The next message; None at the end.
     fn next<T: for<'a> serde::Deserialize<'a>>(&mut self) -> Option<T> {
         loop {
-            if let Some(message) = unframe(&mut self.bytes).expect("ours") {
+            if let Some(message) = decode_frame(&mut self.bytes).expect("ours") {
                 return Some(message);
             }
             let mut room = [0; 4096];
@@ -94,78 +95,86 @@
         }
     }
 
-    fn say(&mut self, term: u64, word: Down) {
-        match self.stream.write_all(&frame(&Fenced { term, word })) {
-            // It refused a word before this one and has ended the link: what is read next tells.
+    fn send(&mut self, term: u64, message: ControllerMessage) {
+        match self
+            .stream
+            .write_all(&encode_frame(&Fenced { term, message }))
+        {
+            // It rejected a message before this one and has ended the connection: what is read next tells.
             Err(e) if matches!(e.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset) => {}
             written => written.expect("taken"),
         }
     }
 
-    /// Reads on until the other side ends the link.
-    fn ends(mut self) {
-        while self.next::<Up>().is_some() {}
+    /// Reads on until the other side ends the connection.
+    fn wait_for_end(mut self) {
+        while self.next::<ProxyMessage>().is_some() {}
     }
 }
 
-/// A counter comes and says who it is.
-fn comes(inner: &TcpListener) -> (Link, Hello) {
+/// Accepts a proxy's session and its hello.
+fn accept(inner: &TcpListener) -> (Connection, Hello) {
     loop {
-        let (stream, _) = inner.accept().expect("a counter");
-        let mut link = Link::over(stream);
-        let opened = link.next::<Opening>();
-        if let (Some(Opening::Counter), Some(Up::Hello(hello))) = (opened, link.next::<Up>()) {
-            return (link, hello);
+        let (stream, _) = inner.accept().expect("a proxy");
+        let mut connection = Connection::new(stream);
+        let opened = connection.next::<ConnectionPurpose>();
+        if let (Some(ConnectionPurpose::ProxySession), Some(ProxyMessage::Hello(hello))) =
+            (opened, connection.next::<ProxyMessage>())
+        {
+            return (connection, hello);
         }
     }
 }
 
-/// What a leader tells a counter first.
-fn welcome(link: &mut Link, term: u64, edition: &str, number: u64, hello: &Hello) {
-    link.say(term, Down::Services(Vec::new()));
-    link.say(
+/// Sends what a leader tells a proxy first.
+fn welcome(connection: &mut Connection, term: u64, edition: &str, number: u64, hello: &Hello) {
+    connection.send(term, ControllerMessage::Services(Vec::new()));
+    connection.send(
         term,
-        Down::Listing(Listing {
-            whole: true,
-            entries: Vec::new(),
+        ControllerMessage::Endpoints(EndpointUpdate {
+            is_full: true,
+            endpoints: Vec::new(),
         }),
     );
     let bytes = delta::diff("", edition);
     let length = bytes.len() as u32;
-    link.say(
+    connection.send(
         term,
-        Down::Piece(Piece {
-            number,
-            from: 0,
-            length,
-            at: 0,
+        ControllerMessage::ConfigChunk(ConfigChunk {
+            version: number,
+            base_version: 0,
+            total_bytes: length,
+            offset: 0,
             bytes,
         }),
     );
-    link.say(
+    connection.send(
         term,
-        Down::Welcome {
-            core: Vec::new(),
-            counters: 1,
-            asked: hello.at,
+        ControllerMessage::Welcome {
+            controllers: Vec::new(),
+            proxies: 1,
+            confirmed_at: hello.sent_at,
         },
     );
 }
 
-/// Waits for a sign of life, by which all that was said before has been taken in.
-fn reports(link: &mut Link) -> u64 {
+/// Waits for a report, by which all that was said before has been taken in.
+fn reported_version(connection: &mut Connection) -> u64 {
     loop {
-        match link.next::<Up>().expect("the link stands") {
-            Up::Report(report) => return report.edition,
+        match connection
+            .next::<ProxyMessage>()
+            .expect("the connection stands")
+        {
+            ProxyMessage::Report(report) => return report.config_version,
             _ => continue,
         }
     }
 }
 
-/// Guards against a counter that says it is ready before a leader has confirmed what it knows, and against one that takes
-/// the word of a leader of the past.
+/// Guards against a proxy that says it is ready before a leader has confirmed what it knows, and against one that accepts
+/// the message of a leader of the past.
 #[test]
-fn a_counter_is_ready_by_a_leaders_word_only_and_by_none_of_the_past() {
+fn a_proxy_is_ready_by_a_leaders_message_only_and_by_none_of_the_past() {
     let net = format!("127.70.{}", std::process::id() % 250);
     let inner = TcpListener::bind(format!("{net}.1:7720")).expect("free");
     let settings = format!(
@@ -184,7 +193,7 @@
 ready = "{net}.9:7001"
 "#
     );
-    let _counter = Process::start("proxy", "counter", &settings);
+    let _proxy = Process::start("proxy", "proxy", &settings);
     let ready = || {
         status(
             format!("{net}.9:7001").parse().expect("an address"),
@@ -193,80 +202,89 @@
         )
     };
     for _ in 0..10 {
-        let (mut link, hello) = comes(&inner);
-        assert_eq!((hello.term, hello.edition, ready()), (0, 0, Some(503)));
-        link.say(
+        let (mut connection, hello) = accept(&inner);
+        assert_eq!(
+            (hello.term, hello.config_version, ready()),
+            (0, 0, Some(503))
+        );
+        connection.send(
             9,
-            Down::Elsewhere {
+            ControllerMessage::Redirect {
                 leader: None,
-                core: Vec::new(),
+                controllers: Vec::new(),
             },
         );
-        link.ends();
+        connection.wait_for_end();
     }
-    // Told all but the welcome: the leader may have lost its majority meanwhile.
-    let (mut link, _) = comes(&inner);
-    link.say(
+    // It was told all but the welcome: the leader may have lost its majority meanwhile.
+    let (mut connection, _) = accept(&inner);
+    connection.send(
         5,
-        Down::Listing(Listing {
-            whole: true,
-            entries: Vec::new(),
+        ControllerMessage::Endpoints(EndpointUpdate {
+            is_full: true,
+            endpoints: Vec::new(),
         }),
     );
     let bytes = delta::diff("", EDITION);
     let length = bytes.len() as u32;
-    link.say(
+    connection.send(
         5,
-        Down::Piece(Piece {
-            number: 7,
-            from: 0,
-            length,
-            at: 0,
+        ControllerMessage::ConfigChunk(ConfigChunk {
+            version: 7,
+            base_version: 0,
+            total_bytes: length,
+            offset: 0,
             bytes,
         }),
     );
-    assert_eq!(link.next::<Up>(), Some(Up::Holds { edition: 7 }));
+    assert_eq!(
+        connection.next::<ProxyMessage>(),
+        Some(ProxyMessage::ConfigApplied { version: 7 })
+    );
     assert_eq!(ready(), Some(503));
-    drop(link);
-    let (mut link, hello) = comes(&inner);
-    assert_eq!((hello.term, hello.edition), (5, 7));
-    welcome(&mut link, 5, EDITION, 7, &hello);
-    assert_eq!((reports(&mut link), ready()), (7, Some(200)));
-    // A word of a lower term ends the link; so does a whole welcome in one.
-    link.say(
+    drop(connection);
+    let (mut connection, hello) = accept(&inner);
+    assert_eq!((hello.term, hello.config_version), (5, 7));
+    welcome(&mut connection, 5, EDITION, 7, &hello);
+    assert_eq!((reported_version(&mut connection), ready()), (7, Some(200)));
+    // A message of a lower term ends the connection; so does a whole welcome in one.
+    connection.send(
         4,
-        Down::Beat {
-            counters: 1,
-            asked: hello.at,
-            edition: 7,
+        ControllerMessage::Heartbeat {
+            proxies: 1,
+            confirmed_at: hello.sent_at,
+            config_version: 7,
         },
     );
-    link.ends();
-    let (mut link, hello) = comes(&inner);
+    connection.wait_for_end();
+    let (mut connection, hello) = accept(&inner);
     welcome(
-        &mut link,
+        &mut connection,
         4,
         &EDITION.replace("\"edition\":7", "\"edition\":9"),
         9,
         &hello,
     );
-    link.ends();
-    let (mut link, hello) = comes(&inner);
-    assert_eq!((hello.term, hello.edition, ready()), (5, 7, Some(200)));
+    connection.wait_for_end();
+    let (mut connection, hello) = accept(&inner);
+    assert_eq!(
+        (hello.term, hello.config_version, ready()),
+        (5, 7, Some(200))
+    );
     welcome(
-        &mut link,
+        &mut connection,
         6,
         &EDITION.replace("\"edition\":7", "\"edition\":8"),
         8,
         &hello,
     );
-    assert_eq!(reports(&mut link), 8);
+    assert_eq!(reported_version(&mut connection), 8);
 }
 
-/// Guards against a sorting machine that can't show that it leads and hands out anything else than addresses, or answers
+/// Guards against a controller that can't show that it leads and hands out anything else than addresses, or answers
 /// orders and reads.
 #[test]
-fn a_machine_that_is_left_alone_hands_out_and_takes_nothing() {
+fn a_partitioned_controller_hands_out_and_accepts_nothing() {
     let net = format!("127.71.{}", std::process::id() % 250);
     let start = |i: u8| {
         let settings = format!(
@@ -294,7 +312,7 @@
     let call =
         |i, call: &str, body: &str| status(control(i), &format!("POST /v1/rpc?call={call}"), body);
     let taken = |i: &usize| call(*i, "config.replace", EDITION) == Some(200);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let leader = (0..3)
         .cycle()
         .find(|i| taken(i) || Instant::now() > until)
@@ -327,9 +345,10 @@
         let order = r#"{"service":"s","to_edition":"v2","within":"12s"}"#;
         assert_eq!(call(leader, "editions.begin", order), Some(503));
         let inner = format!("{net}.{}:7720", leader + 1);
-        let mut link = Link::over(TcpStream::connect(inner).expect("it listens"));
-        link.stream
-            .write_all(&frame(&Opening::Counter))
+        let mut connection = Connection::new(TcpStream::connect(inner).expect("it listens"));
+        connection
+            .stream
+            .write_all(&encode_frame(&ConnectionPurpose::ProxySession))
             .expect("taken");
         let hello = Hello {
             node: "counter-1".into(),
@@ -337,16 +356,20 @@
             incarnation: 5,
             ..Hello::default()
         };
-        link.stream
-            .write_all(&frame(&Up::Hello(hello)))
+        connection
+            .stream
+            .write_all(&encode_frame(&ProxyMessage::Hello(hello)))
             .expect("taken");
-        let mut words = Vec::new();
-        while let Some(told) = link.next::<Fenced<Down>>() {
-            words.push(told.word);
+        let mut messages = Vec::new();
+        while let Some(told) = connection.next::<Fenced<ControllerMessage>>() {
+            messages.push(told.message);
         }
         assert!(
-            matches!(&words[..], [Down::Elsewhere { leader: None, .. }]),
-            "{words:?}"
+            matches!(
+                &messages[..],
+                [ControllerMessage::Redirect { leader: None, .. }]
+            ),
+            "{messages:?}"
         );
     }
 }
--- a/crates/gateway/tests/golden_frames.rs
+++ b/crates/gateway/tests/golden_frames.rs
@@ -2,10 +2,11 @@
 //! name, then the bytes of its frame in hexadecimal.
 
 use magpieline_control_plane::messages::{
-    frame, unframe, Down, Evidence, Fenced, Hello, Listing, Opening, Piece, Report, Spot, Stage,
-    State, Totals, Up, Vote,
+    decode_frame, encode_frame, ArmTotals, ConfigChunk, ConnectionPurpose, ControllerMessage,
+    EndpointState, EndpointTotals, EndpointUpdate, Fenced, Hello, ProxyMessage, Report,
+    TrialEvidence, TrialStage, Vote,
 };
-use magpieline_control_plane::state_machine::{Phase, Rollout, Standing};
+use magpieline_control_plane::state_machine::{Phase, Rollout, ServiceState};
 use magpieline_raft::{Entry, Envelope, Message, NodeId, Payload, VoterSet};
 use serde::{Deserialize, Serialize};
 use std::fmt::Debug;
@@ -18,7 +19,7 @@
     SocketAddrV4::new([10, 1, 0, last].into(), 7720)
 }
 
-fn seat(last: u8, incarnation: u64) -> NodeId {
+fn node_id(last: u8, incarnation: u64) -> NodeId {
     NodeId {
         address: address(last),
         incarnation,
@@ -38,7 +39,7 @@
     message: T,
     lines: &mut Vec<String>,
 ) {
-    let bytes = frame(&message);
+    let bytes = encode_frame(&message);
     let kept = FRAMES
         .lines()
         .find_map(|line| line.strip_prefix(&format!("{name} ")));
@@ -47,77 +48,77 @@
         assert_eq!(kept, Some(&*ours), "{name}");
     }
     assert_eq!(
-        unframe(&mut bytes.clone()).expect("readable"),
+        decode_frame(&mut bytes.clone()).expect("readable"),
         Some(message),
         "{name}"
     );
     lines.push(format!("{name} {ours}"));
 }
 
-fn down(word: Down) -> Fenced<Down> {
-    Fenced { term: 300, word }
+fn down(message: ControllerMessage) -> Fenced<ControllerMessage> {
+    Fenced { term: 300, message }
 }
 
-fn standing() -> Standing {
+fn service() -> ServiceState {
     let rollout = Rollout {
-        to: "v2".into(),
+        target_version: "v2".into(),
         within: 12_000_000,
-        phase: Phase::Moving,
-        order: 17,
+        phase: Phase::Promoting,
+        id: 17,
     };
-    Standing {
+    ServiceState {
         version: Some("v1".into()),
         rollout: Some(rollout),
-        barred: vec!["v0".into()],
+        rejected_versions: vec!["v0".into()],
     }
 }
 
-fn evidence() -> Evidence {
-    let totals = Totals {
+fn evidence() -> TrialEvidence {
+    let totals = ArmTotals {
         pulls: 1,
-        in_time: 2,
+        on_time: 2,
         bad: 3,
         outcomes: 4,
-        spent_ms: 5,
+        latency_sum_ms: 5,
         served: 6,
     };
-    Evidence {
+    TrialEvidence {
         service: "calendar".into(),
-        order: 17,
-        vote: Vote::On,
-        totals: vec![(7, [totals, Totals::default()])],
-        spots: vec![Spot {
-            appliance: 1,
+        rollout_id: 17,
+        vote: Vote::Promote,
+        totals: vec![(7, [totals, ArmTotals::default()])],
+        endpoints: vec![EndpointTotals {
+            endpoint: 1,
             outcomes: 2,
             bad: 3,
             late: 4,
         }],
-        taken: 8,
-        under_way: 9,
+        requests: 8,
+        draining: 9,
         age: 10,
         phase: Some(Phase::Trial),
     }
 }
 
-fn listing() -> Listing {
-    let entry = magpieline_control_plane::messages::Entry {
+fn update() -> EndpointUpdate {
+    let endpoint = magpieline_control_plane::messages::Endpoint {
         service: "calendar".into(),
         address: address(50),
         zone: "a".into(),
         version: "v1".into(),
-        berths: 2,
-        state: State::Closing,
-        cold: 1_500_000,
+        concurrency: 2,
+        state: EndpointState::Draining,
+        warmup_left: 1_500_000,
     };
-    Listing {
-        whole: true,
-        entries: vec![("s-1".into(), Some(entry)), ("s-2".into(), None)],
+    EndpointUpdate {
+        is_full: true,
+        endpoints: vec![("s-1".into(), Some(endpoint)), ("s-2".into(), None)],
     }
 }
 
 fn raft_messages() -> Vec<(&'static str, Message)> {
     let members = VoterSet {
-        voters: vec![seat(16, 0), seat(17, 5)],
+        voters: vec![node_id(16, 0), node_id(17, 5)],
     };
     let bytes = b"command".to_vec();
     let payloads = [
@@ -216,7 +217,7 @@
             "leave",
             Message::LeaveRequest {
                 token: 99,
-                waiting: Some(vec![seat(18, 6)]),
+                waiting: Some(vec![node_id(18, 6)]),
             },
         ),
         ("left", Message::LeaveResponse { token: 99 }),
@@ -228,92 +229,107 @@
 fn frames_are_those_of_the_release_before() {
     let mut lines = Vec::new();
     let all = &mut lines;
-    check("opening-counter", Opening::Counter, all);
-    check("opening-sorting", Opening::Sorting(address(16)), all);
-    check("opening-view", Opening::View, all);
+    check("opening-counter", ConnectionPurpose::ProxySession, all);
+    check(
+        "opening-sorting",
+        ConnectionPurpose::Consensus(address(16)),
+        all,
+    );
+    check("opening-view", ConnectionPurpose::View, all);
     let hello = Hello {
         node: "c-1".into(),
         zone: "a".into(),
         incarnation: 4,
-        edition: 3,
+        config_version: 3,
         term: 2,
-        at: 1_000,
+        sent_at: 1_000,
     };
-    check("up-hello", Up::Hello(hello), all);
+    check("up-hello", ProxyMessage::Hello(hello), all);
     check(
         "up-report",
-        Up::Report(Report {
-            edition: 3,
+        ProxyMessage::Report(Report {
+            config_version: 3,
             evidence: vec![evidence()],
             term: 2,
-            at: 1_000,
+            sent_at: 1_000,
         }),
         all,
     );
     check(
         "up-got",
-        Up::Got {
-            number: 3,
-            upto: 8192,
+        ProxyMessage::ChunkReceived {
+            version: 3,
+            received: 8192,
         },
         all,
     );
-    check("up-holds", Up::Holds { edition: 3 }, all);
-    let core = vec![address(16), address(17)];
+    check("up-holds", ProxyMessage::ConfigApplied { version: 3 }, all);
+    let controllers = vec![address(16), address(17)];
     check(
         "down-elsewhere",
-        down(Down::Elsewhere {
+        down(ControllerMessage::Redirect {
             leader: Some(address(17)),
-            core: core.clone(),
+            controllers: controllers.clone(),
         }),
         all,
     );
     check(
         "down-welcome",
-        down(Down::Welcome {
-            core,
-            counters: 9,
-            asked: 1_000,
+        down(ControllerMessage::Welcome {
+            controllers,
+            proxies: 9,
+            confirmed_at: 1_000,
         }),
         all,
     );
-    let piece = Piece {
-        number: 4,
-        from: 3,
-        length: 9000,
-        at: 8192,
+    let chunk = ConfigChunk {
+        version: 4,
+        base_version: 3,
+        total_bytes: 9000,
+        offset: 8192,
         bytes: b"piece".to_vec(),
     };
-    check("down-piece", down(Down::Piece(piece)), all);
+    check(
+        "down-piece",
+        down(ControllerMessage::ConfigChunk(chunk)),
+        all,
+    );
     check(
         "down-services",
-        down(Down::Services(vec![("calendar".into(), standing())])),
+        down(ControllerMessage::Services(vec![(
+            "calendar".into(),
+            service(),
+        )])),
         all,
     );
-    let stage = Stage {
+    let stage = TrialStage {
         share: 0.05,
-        guarded: true,
-        focus: 2,
+        idempotent_only: true,
+        max_endpoints: 2,
     };
     check(
         "down-stage",
-        down(Down::Stage("calendar".into(), 17, stage)),
+        down(ControllerMessage::Stage("calendar".into(), 17, stage)),
+        all,
+    );
+    check(
+        "down-listing",
+        down(ControllerMessage::Endpoints(update())),
         all,
     );
-    check("down-listing", down(Down::Listing(listing())), all);
     check(
         "down-beat",
-        down(Down::Beat {
-            counters: 9,
-            asked: 1_000,
-            edition: 4,
+        down(ControllerMessage::Heartbeat {
+            proxies: 9,
+            confirmed_at: 1_000,
+            config_version: 4,
         }),
         all,
     );
     for (name, message) in raft_messages() {
         let envelope = Envelope {
-            from: seat(16, 0),
-            to: seat(17, 5),
+            from: node_id(16, 0),
+            to: node_id(17, 5),
             term: 3,
             message,
         };
--- a/crates/gateway/tests/kept_store.rs
+++ b/crates/gateway/tests/kept_store.rs
@@ -3,7 +3,7 @@
 //! byte are told by their length (parts: how many times, how many bytes, both in four bytes with the least significant
 //! first, then the bytes).
 
-use magpieline_control_plane::state_machine::{Command, Kept, Phase, Records};
+use magpieline_control_plane::state_machine::{Command, ControlState, Phase, StoredConfig};
 use magpieline_raft::{
     Entry, HardState, NodeId, Payload, PersistentState, Snapshot, VoterSet, WriteBatch,
 };
@@ -34,7 +34,7 @@
     }
 }
 
-fn seat(last: u8, incarnation: u64) -> NodeId {
+fn node_id(last: u8, incarnation: u64) -> NodeId {
     NodeId {
         address: std::net::SocketAddrV4::new([10, 1, 0, last].into(), 7720),
         incarnation,
@@ -52,41 +52,41 @@
 /// All commands that the release knew, in the order in which they went into the log.
 fn commands() -> Vec<Command> {
     let services = ["calendar", "orders"];
-    let mut list = vec![Command::Replace(Kept {
-        number: 3,
+    let mut list = vec![Command::ReplaceConfig(StoredConfig {
+        version: 3,
         text: text(3),
     })];
-    list.extend(services.map(|s| Command::Stands {
+    list.extend(services.map(|s| Command::SetVersion {
         service: s.into(),
         version: "v1".into(),
     }));
-    list.push(Command::Begin {
+    list.push(Command::BeginRolloutV1 {
         service: "calendar".into(),
-        to: "v2".into(),
+        target_version: "v2".into(),
         within: 12_000_000,
     });
-    list.push(Command::Advance {
+    list.push(Command::AdvanceRollout {
         service: "calendar".into(),
-        order: 6,
-        phase: Phase::Returned,
+        id: 6,
+        phase: Phase::RolledBack,
     });
-    list.push(Command::Replace(Kept {
-        number: 8,
+    list.push(Command::ReplaceConfig(StoredConfig {
+        version: 8,
         text: text(8),
     }));
     // Behind the snapshot:
-    list.push(Command::Begin {
+    list.push(Command::BeginRolloutV1 {
         service: "orders".into(),
-        to: "v2".into(),
+        target_version: "v2".into(),
         within: 9_000_000,
     });
-    list.push(Command::Advance {
+    list.push(Command::AdvanceRollout {
         service: "orders".into(),
-        order: 10,
-        phase: Phase::Moving,
+        id: 10,
+        phase: Phase::Promoting,
     });
-    list.push(Command::Replace(Kept {
-        number: 9,
+    list.push(Command::ReplaceConfig(StoredConfig {
+        version: 9,
         text: text(9),
     }));
     list
@@ -97,8 +97,8 @@
 const FIRST: u64 = 3;
 
 /// The state after so many commands.
-fn state(count: usize) -> Records {
-    let mut records = Records::default();
+fn state(count: usize) -> ControlState {
+    let mut records = ControlState::default();
     for (index, command) in (FIRST..).zip(commands()).take(count) {
         records.apply(index, &command);
     }
@@ -106,9 +106,11 @@
 }
 
 /// The first release remembered no number but the one in force.
-fn as_the_first_release_knew(mut records: Records) -> Records {
-    let held = records.edition.as_ref().expect("one").number;
-    records.documents.retain(|number, _| *number == held);
+fn as_the_first_release_knew(mut records: ControlState) -> ControlState {
+    let held = records.config.as_ref().expect("one").version;
+    records
+        .acknowledged_configs
+        .retain(|number, _| *number == held);
     records.known_from = held;
     records
 }
@@ -118,14 +120,14 @@
     HardState {
         incarnation: 77,
         term: 4,
-        vote: Some(seat(17, 5)),
+        vote: Some(node_id(17, 5)),
         commit: 11,
     }
 }
 
 fn voters() -> VoterSet {
     VoterSet {
-        voters: vec![seat(16, 0), seat(17, 5), seat(18, 0)],
+        voters: vec![node_id(16, 0), node_id(17, 5), node_id(18, 0)],
     }
 }
 
@@ -139,16 +141,16 @@
         index: covered,
         term: 3,
         voters: voters(),
-        state: state(COVERED).pack(),
+        state: state(COVERED).encode(),
     };
     let command = |more, bytes: &[u8]| Payload::Command {
         more,
         bytes: bytes.to_vec(),
     };
-    let later: Vec<Vec<u8>> = commands()[COVERED..].iter().map(Command::pack).collect();
+    let later: Vec<Vec<u8>> = commands()[COVERED..].iter().map(Command::encode).collect();
     let (head, rest) = later[2].split_at(100);
     let rows = [
-        (3, command(false, &commands()[COVERED - 1].pack())),
+        (3, command(false, &commands()[COVERED - 1].encode())),
         (3, Payload::Voters(voters())),
         (4, command(false, &later[0])),
         (4, command(false, &later[1])),
@@ -165,7 +167,7 @@
             payload,
         })
         .collect();
-    let mut granary = Store::open(&folder.0).expect("a store");
+    let mut store = Store::open(&folder.0).expect("a store");
     let batch = WriteBatch {
         hard_state: hard_state(),
         snapshot: Some(Arc::new(snapshot)),
@@ -173,8 +175,8 @@
         truncate_from: covered,
         entries,
     };
-    granary.write(&batch).expect("written");
-    drop(granary);
+    store.write(&batch).expect("written");
+    drop(store);
     let bytes = std::fs::read(folder.0.join("store.redb")).expect("there");
     let to = std::env::temp_dir().join("store.packed");
     std::fs::write(&to, packed(&bytes)).expect("written");
@@ -232,7 +234,7 @@
         (snapshot.index, snapshot.term, &snapshot.voters),
         (8, 3, &voters())
     );
-    let mut records = Records::unpack(&snapshot.state).expect("read");
+    let mut records = ControlState::decode(&snapshot.state).expect("read");
     assert_eq!(records, as_the_first_release_knew(state(COVERED)));
     assert!(matches!(&stored.entries[1].payload, Payload::Voters(list) if *list == voters()));
     let mut pieces = Vec::new();
@@ -243,7 +245,7 @@
             if !more {
                 read.push((
                     entry.index,
-                    Command::unpack(&std::mem::take(&mut pieces)).expect("read"),
+                    Command::decode(&std::mem::take(&mut pieces)).expect("read"),
                 ));
             }
         }
@@ -260,11 +262,11 @@
     for (index, command) in &read[1..] {
         records.apply(*index, command);
     }
-    assert_eq!(records.edition.map(|kept| kept.text), Some(text(9)));
-    let standing = &records.services["orders"];
+    assert_eq!(records.config.map(|stored| stored.text), Some(text(9)));
+    let service = &records.services["orders"];
     assert_eq!(
-        standing.rollout.as_ref().map(|r| (r.order, r.phase)),
-        Some((10, Phase::Moving))
+        service.rollout.as_ref().map(|r| (r.id, r.phase)),
+        Some((10, Phase::Promoting))
     );
 }
 
@@ -274,8 +276,8 @@
     let folder = Folder::new("read");
     put(&folder, FORMAT_1);
     check(&inspect(&folder.0).expect("readable").expect("there").stored);
-    let mut granary = Store::open(&folder.0).expect("opened");
-    let stored = granary.load().expect("readable");
+    let mut store = Store::open(&folder.0).expect("opened");
+    let stored = store.load().expect("readable");
     check(&stored);
     // What this release adds goes beside it, and all is read again.
     let entry = Entry {
@@ -295,10 +297,10 @@
         truncate_from: 15,
         entries: vec![entry.clone()],
     };
-    granary.write(&batch).expect("written");
-    drop(granary);
+    store.write(&batch).expect("written");
+    drop(store);
     let again = Store::open(&folder.0)
-        .and_then(|mut granary| granary.load())
+        .and_then(|mut store| store.load())
         .expect("readable");
     assert_eq!(again.hard_state, Some(hard_state));
     assert_eq!(
@@ -310,12 +312,12 @@
 /// Commands of the second form, of every kind, in the order in which they went into the log from [`FIRST`] on.
 fn commands_2() -> Vec<Command> {
     let mut list = commands();
-    let order = |to: &str, after, at| Command::Order {
+    let order = |to: &str, finished_id, accepted_at| Command::BeginRollout {
         service: "calendar".into(),
-        to: to.into(),
+        target_version: to.into(),
         within: 12_000_000,
-        after,
-        at,
+        finished_id,
+        accepted_at,
     };
     list.push(order("v3", 0, 1_790_000_000_000_000));
     list.push(order("v3", 12, 1_790_000_090_000_000));
@@ -323,8 +325,8 @@
 }
 
 /// The state after all of them.
-fn state_2() -> Records {
-    let mut records = Records::default();
+fn state_2() -> ControlState {
+    let mut records = ControlState::default();
     for (index, command) in (FIRST..).zip(commands_2()) {
         records.apply(index, &command);
     }
@@ -334,7 +336,7 @@
 fn entries_2(last: u64) -> Vec<Entry> {
     let command = Payload::Command {
         more: false,
-        bytes: commands_2()[0].pack(),
+        bytes: commands_2()[0].encode(),
     };
     let payloads = [
         Payload::Noop,
@@ -372,9 +374,9 @@
         index: last,
         term: 4,
         voters: voters(),
-        state: state_2().pack(),
+        state: state_2().encode(),
     };
-    let mut granary = Store::open(&folder.0).expect("a store");
+    let mut store = Store::open(&folder.0).expect("a store");
     let (snapshot, entries) = (Some(Arc::new(snapshot)), entries_2(last));
     let batch = WriteBatch {
         hard_state: hard_2(last),
@@ -383,8 +385,8 @@
         truncate_from: last,
         entries,
     };
-    granary.write(&batch).expect("written");
-    drop(granary);
+    store.write(&batch).expect("written");
+    drop(store);
     let bytes = std::fs::read(folder.0.join("store.redb")).expect("there");
     let to = std::env::temp_dir().join("store-2.packed");
     std::fs::write(&to, packed(&bytes)).expect("written");
@@ -397,7 +399,7 @@
     let folder = Folder::new("read-2");
     put(&folder, FORMAT_2);
     let stored = Store::open(&folder.0)
-        .and_then(|mut granary| granary.load())
+        .and_then(|mut store| store.load())
         .expect("readable");
     let last = FIRST + commands_2().len() as u64 - 1;
     assert_eq!(stored.hard_state, Some(hard_2(last)));
@@ -406,7 +408,7 @@
         (snapshot.index, snapshot.term, &snapshot.voters),
         (last, 4, &voters())
     );
-    assert_eq!(Records::unpack(&snapshot.state), Ok(state_2()));
-    assert_eq!(snapshot.state, state_2().pack(), "written as before");
+    assert_eq!(ControlState::decode(&snapshot.state), Ok(state_2()));
+    assert_eq!(snapshot.state, state_2().encode(), "written as before");
     assert_eq!(stored.entries, entries_2(last));
 }
--- a/crates/gateway/tests/leader_redirect.rs
+++ b/crates/gateway/tests/leader_redirect.rs
@@ -1,6 +1,8 @@
 //! Where operators' calls are answered, by what a machine knows of who leads.
 
-use magpieline_gateway::controller::leader_redirect::{way, Sight, Way, LONG};
+use magpieline_gateway::controller::leader_redirect::{
+    target, LeaderView, Target, LEADERLESS_TIMEOUT,
+};
 
 const UNTIL: u64 = 10_800_000;
 
@@ -10,40 +12,40 @@
 fn only_who_leads_now_answers_and_who_knows_nobody_says_so_in_time() {
     let other = "10.0.0.2:7720".parse().ok();
     let now = 10_000_000;
-    let leads = Sight {
-        leads: true,
-        ..Sight::default()
+    let leads = LeaderView {
+        holds_lease: true,
+        ..LeaderView::default()
     };
-    assert_eq!(way(&leads, now, UNTIL), Way::Here);
+    assert_eq!(target(&leads, now, UNTIL), Target::Local);
     // Its lease is over, and nobody has told it of another leader yet.
-    let led = Sight {
-        leads: false,
-        other: None,
+    let led = LeaderView {
+        holds_lease: false,
+        other_leader: None,
         leaderless_since: None,
     };
     let (mut at, mut asked) = (now, 0);
-    while let Way::Wait(then) = way(&led, at, UNTIL) {
+    while let Target::Wait(then) = target(&led, at, UNTIL) {
         assert!(then > at && then <= UNTIL);
         (at, asked) = (then, asked + 1);
     }
-    assert_eq!((at, way(&led, at, UNTIL)), (UNTIL, Way::Nobody));
+    assert_eq!((at, target(&led, at, UNTIL)), (UNTIL, Target::Unavailable));
     assert!(asked <= 40, "{asked}");
-    let follows = Sight {
-        other,
-        ..Sight::default()
+    let follows = LeaderView {
+        other_leader: other,
+        ..LeaderView::default()
     };
     assert_eq!(
-        way(&follows, now, UNTIL),
-        Way::There(other.expect("an address"))
+        target(&follows, now, UNTIL),
+        Target::Redirect(other.expect("an address"))
     );
-    let alone = Sight {
-        leaderless_since: Some(now - LONG),
-        ..Sight::default()
+    let alone = LeaderView {
+        leaderless_since: Some(now - LEADERLESS_TIMEOUT),
+        ..LeaderView::default()
     };
-    assert_eq!(way(&alone, now, UNTIL), Way::Nobody);
-    let newly = Sight {
+    assert_eq!(target(&alone, now, UNTIL), Target::Unavailable);
+    let newly = LeaderView {
         leaderless_since: Some(now - 1),
-        ..Sight::default()
+        ..LeaderView::default()
     };
-    assert!(matches!(way(&newly, now, UNTIL), Way::Wait(_)));
+    assert!(matches!(target(&newly, now, UNTIL), Target::Wait(_)));
 }
--- a/crates/gateway/src/proxy/loopback_tests.rs
+++ b/crates/gateway/tests/proxy_loopback.rs
@@ -1,19 +1,18 @@
-//! The counter between a client and an appliance played by the tests. They wait for what is to come, for no time.
+//! A proxy between a client and an endpoint played by the tests. They wait for what is to come, for no time.
 
-use super::{request_handler, Counter};
-use magpieline_config::node_settings::Machine;
-use magpieline_control_plane::messages::{Entry, Listing, State};
-use magpieline_control_plane::state_machine::Kept;
+use magpieline_config::node_settings::NodeSettings;
+use magpieline_control_plane::messages::{Endpoint, EndpointState, EndpointUpdate};
+use magpieline_control_plane::state_machine::StoredConfig;
+use magpieline_gateway::proxy::{connector, listener, Proxy};
 use std::future::Future;
 use std::net::SocketAddrV4;
-use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-const MACHINE: &str = r#"
+const SETTINGS: &str = r#"
 [self]
 node = "n-1"
 machine_class = "counter"
@@ -29,19 +28,19 @@
 edition_time = "200ms"
 "#;
 
-const EDITION: &str = r#"{"edition":1,"allowances":{"header_bytes":2000},"fleets":[{"name":"s"}],
+const CONFIG: &str = r#"{"edition":1,"allowances":{"header_bytes":2000},"fleets":[{"name":"s"}],
 "wickets":[{"depot":"h","regulations":[
 {"name":"r","sort":"safe","target":"1s","sorting":{"lane_prefix":"/safe/"},"dispatch":{"service":"s","give_up":"9s","tries":2}},
 {"name":"u","sort":"unsafe","target":"1s","sorting":{"lane_prefix":"/once/"},"dispatch":{"service":"s","give_up":"9s","tries":2}}]}]}"#;
 
-/// A request at the appliance, by its connection; it waits for the bytes to answer with.
-struct Asked {
+/// A request at the endpoint, by its connection; it waits for the bytes to answer with.
+struct EndpointRequest {
     connection: usize,
     text: String,
     reply: oneshot::Sender<String>,
 }
 
-impl Asked {
+impl EndpointRequest {
     fn id(&self) -> String {
         let id = self
             .text
@@ -64,7 +63,7 @@
     }
 }
 
-async fn appliance(listener: TcpListener, tell: mpsc::UnboundedSender<Asked>) {
+async fn serve_endpoint(listener: TcpListener, tell: mpsc::UnboundedSender<EndpointRequest>) {
     for connection in 0.. {
         let Ok((mut stream, _)) = listener.accept().await else {
             return;
@@ -85,7 +84,7 @@
                 if let Some(end) = whole {
                     bytes.drain(..end);
                     let (reply, answer) = oneshot::channel();
-                    let _ = tell.send(Asked {
+                    let _ = tell.send(EndpointRequest {
                         connection,
                         text: text[..end].into(),
                         reply,
@@ -100,10 +99,10 @@
     }
 }
 
-struct Stage {
-    counter: Arc<Counter>,
-    door: SocketAddrV4,
-    asked: mpsc::UnboundedReceiver<Asked>,
+struct Fixture {
+    proxy: Arc<Proxy>,
+    clients: SocketAddrV4,
+    asked: mpsc::UnboundedReceiver<EndpointRequest>,
 }
 
 async fn local() -> (TcpListener, SocketAddrV4) {
@@ -112,52 +111,54 @@
     (listener, SocketAddrV4::new([127, 0, 0, 1].into(), port))
 }
 
-impl Stage {
-    async fn new() -> Stage {
-        Stage::with(EDITION).await
+impl Fixture {
+    async fn new() -> Fixture {
+        Fixture::with(CONFIG).await
     }
 
-    async fn with(edition: &str) -> Stage {
+    async fn with(config: &str) -> Fixture {
         let (far, address) = local().await;
         let (tell, asked) = mpsc::unbounded_channel();
-        tokio::spawn(appliance(far, tell));
-        let counter = Arc::new(Counter::new(
-            tokio::sync::watch::channel(Arc::new(Machine::read(MACHINE).expect("sound"))).1,
+        tokio::spawn(serve_endpoint(far, tell));
+        let proxy = Arc::new(Proxy::new(
+            tokio::sync::watch::channel(Arc::new(NodeSettings::parse(SETTINGS).expect("sound"))).1,
             1,
-            super::connect::tcp(),
+            connector::tcp(),
         ));
-        counter.take_edition(&Kept {
-            number: 1,
-            text: edition.into(),
+        proxy.apply_config(&StoredConfig {
+            version: 1,
+            text: config.into(),
         });
-        let entry = Entry {
+        let endpoint = Endpoint {
             service: "s".into(),
             address,
             zone: "a".into(),
             version: "v1".into(),
-            berths: 30,
-            state: State::Ready,
-            cold: 0,
+            concurrency: 30,
+            state: EndpointState::Ready,
+            warmup_left: 0,
         };
-        counter.take_listing(&Listing {
-            whole: true,
-            entries: vec![("i-1".into(), Some(entry))],
+        proxy.apply_endpoints(&EndpointUpdate {
+            is_full: true,
+            endpoints: vec![("i-1".into(), Some(endpoint))],
         });
-        counter.confirmed();
-        let (near, door) = local().await;
-        tokio::spawn(request_handler::run(counter.clone(), near));
-        Stage {
-            counter,
-            door,
+        proxy.on_confirmed();
+        let (near, clients) = local().await;
+        tokio::spawn(listener::run(proxy.clone(), near));
+        Fixture {
+            proxy,
+            clients,
             asked,
         }
     }
 
     async fn client(&self) -> TcpStream {
-        TcpStream::connect(self.door).await.expect("a connection")
+        TcpStream::connect(self.clients)
+            .await
+            .expect("a connection")
     }
 
-    async fn asked(&mut self) -> Asked {
+    async fn asked(&mut self) -> EndpointRequest {
         self.asked.recv().await.expect("a request")
     }
 }
@@ -189,7 +190,7 @@
 }
 
 /// Runs a test; whoever waits for what never comes fails.
-fn play(test: impl Future<Output = ()>) {
+fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -199,18 +200,18 @@
 }
 
 /// Guards against smuggling through the real server: what came before is served, the odd request is answered with
-/// 400 by the counter, what is hidden behind it goes nowhere, and the connection ends in order.
+/// 400 by the proxy, what is hidden behind it goes nowhere, and the connection ends in order.
 #[test]
 fn a_hidden_request_reaches_nobody() {
-    play(async {
-        let mut stage = Stage::new().await;
-        let mut client = stage.client().await;
+    run(async {
+        let mut fixture = Fixture::new().await;
+        let mut client = fixture.client().await;
         let hidden = request("GET", "/safe/hidden", "hidden");
         let odd = "POST /once/a HTTP/1.1\r\nHost: h\r\nTry-Id: odd\r\nContent-Length: 4\r\n\
                    Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
         let sent = [&request("GET", "/safe/a", "t1"), odd, &hidden].concat();
         client.write_all(sent.as_bytes()).await.expect("sent");
-        stage.asked().await.answer("", "");
+        fixture.asked().await.answer("", "");
         let text = rest(&mut client).await;
         assert!(
             text.starts_with("HTTP/1.1 200 OK") && text.contains("\r\n\r\nt1HTTP/1.1 400 Bad"),
@@ -223,16 +224,16 @@
             ),
             (2, 1)
         );
-        assert!(stage.asked.try_recv().is_err(), "nothing more was asked");
+        assert!(fixture.asked.try_recv().is_err(), "nothing more was asked");
     });
 }
 
-/// Guards against a body in chunks that goes on oddly: its request was begun, yet nothing of it reaches an appliance.
+/// Guards against a body in chunks that goes on oddly: its request was begun, yet nothing of it reaches an endpoint.
 #[test]
 fn a_broken_body_is_answered_and_reaches_nobody() {
-    play(async {
-        let mut stage = Stage::new().await;
-        let mut client = stage.client().await;
+    run(async {
+        let mut fixture = Fixture::new().await;
+        let mut client = fixture.client().await;
         let head = request("PUT", "/once/a", "t1");
         let head = head.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n");
         client
@@ -249,8 +250,8 @@
             "{text}"
         );
         assert_eq!(text.matches("HTTP/1.1").count(), 1);
-        assert!(stage.asked.try_recv().is_err(), "nothing was asked");
-        let mut long = stage.client().await;
+        assert!(fixture.asked.try_recv().is_err(), "nothing was asked");
+        let mut long = fixture.client().await;
         long.write_all(format!("GET /{} HTTP/1.1\r\n", "y".repeat(2000)).as_bytes())
             .await
             .expect("sent");
@@ -262,13 +263,13 @@
 /// and its connection ends in order although more was sent.
 #[test]
 fn an_answer_does_not_wait_for_a_body() {
-    play(async {
-        let stage = Stage::new().await;
+    run(async {
+        let fixture = Fixture::new().await;
         for body in [
             "Content-Length: 9\r\n\r\nabc",
             "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n3\r\nabc\r\n3\r\na",
         ] {
-            let mut client = stage.client().await;
+            let mut client = fixture.client().await;
             let head = request("PUT", "/nowhere", "t1");
             client
                 .write_all(head.replace("\r\n\r\n", &format!("\r\n{body}")).as_bytes())
@@ -283,13 +284,13 @@
     });
 }
 
-/// Guards against lookups that wait for one another, and against answers out of order: all are at the appliance
-/// before the first is answered, and are answered in the order they were sent. The order behind them waits.
+/// Guards against idempotent requests that wait for one another, and against answers out of order: all are at the endpoint
+/// before the first is answered, and are answered in the order they were sent. The one behind them that is not idempotent waits.
 #[test]
-fn pipelined_lookups_start_early_and_are_answered_in_order() {
-    play(async {
-        let mut stage = Stage::new().await;
-        let mut client = stage.client().await;
+fn pipelined_idempotent_requests_start_early_and_are_answered_in_order() {
+    run(async {
+        let mut fixture = Fixture::new().await;
+        let mut client = fixture.client().await;
         let mut sent: String = (1..5)
             .map(|i| request("GET", &format!("/safe/{i}"), &format!("t{i}")))
             .collect();
@@ -297,18 +298,18 @@
         client.write_all(sent.as_bytes()).await.expect("sent");
         let mut waiting = Vec::new();
         for _ in 1..5 {
-            waiting.push(stage.asked().await);
+            waiting.push(fixture.asked().await);
         }
         assert!(waiting.iter().all(|w| w.id() != "t5"));
-        waiting.sort_by_key(Asked::id);
+        waiting.sort_by_key(EndpointRequest::id);
         for asked in waiting.into_iter().rev() {
             assert!(
-                stage.asked.try_recv().is_err(),
-                "an order does not start early"
+                fixture.asked.try_recv().is_err(),
+                "one that is not idempotent does not start early"
             );
             asked.answer("", "");
         }
-        let last = stage.asked().await;
+        let last = fixture.asked().await;
         assert!(last.text.starts_with("POST /once/5 "));
         last.answer("", "");
         let text = until(&mut client, "\r\n\r\nt5").await;
@@ -320,22 +321,21 @@
     });
 }
 
-/// Guards against requests lost when the process leaves: those that are at an appliance are all answered, the last
+/// Guards against requests lost when the process shuts down: those that are at an endpoint are all answered, the last
 /// of them closes, and a request that was sent behind them goes nowhere.
 #[test]
-fn leaving_answers_what_was_started() {
-    play(async {
-        let mut stage = Stage::new().await;
-        let mut client = stage.client().await;
+fn shutdown_answers_what_was_started() {
+    run(async {
+        let mut fixture = Fixture::new().await;
+        let mut client = fixture.client().await;
         let sent = [
             request("GET", "/safe/1", "t1"),
             request("GET", "/safe/2", "t2"),
         ]
         .concat();
         client.write_all(sent.as_bytes()).await.expect("sent");
-        let both = [stage.asked().await, stage.asked().await];
-        stage.counter.leaving.store(true, Ordering::Relaxed);
-        stage.counter.left.notify_waiters();
+        let both = [fixture.asked().await, fixture.asked().await];
+        fixture.proxy.shut_down();
         client
             .write_all(request("POST", "/once/3", "t3").as_bytes())
             .await
@@ -348,7 +348,7 @@
                 && text.find("\r\n\r\nt1") < Some(closing)
         );
         assert_eq!(text.matches("HTTP/1.1 200 OK").count(), 2);
-        assert!(stage.asked.try_recv().is_err(), "nothing more was asked");
+        assert!(fixture.asked.try_recv().is_err(), "nothing more was asked");
     });
 }
 
@@ -356,10 +356,14 @@
 /// and a connection on which more came than was asked for is not used again.
 #[test]
 fn answers_late_or_doubled_harm_nobody() {
-    play(async {
-        let mut stage = Stage::new().await;
-        let mut client = stage.client().await;
-        let (mut connections, late, surplus) = (Vec::new(), Asked::whole("t0"), Asked::whole("t9"));
+    run(async {
+        let mut fixture = Fixture::new().await;
+        let mut client = fixture.client().await;
+        let (mut connections, late, surplus) = (
+            Vec::new(),
+            EndpointRequest::whole("t0"),
+            EndpointRequest::whole("t9"),
+        );
         for (i, (before, behind)) in [
             ("", ""),
             (late.as_str(), ""),
@@ -374,7 +378,7 @@
                 .write_all(request("POST", "/once/a", &id).as_bytes())
                 .await
                 .expect("sent");
-            let asked = stage.asked().await;
+            let asked = fixture.asked().await;
             connections.push(asked.connection);
             asked.answer(before, behind);
             let text = until(&mut client, &format!("\r\n\r\n{id}")).await;
@@ -391,9 +395,9 @@
 /// a target in absolute form, and requests behind a body.
 #[test]
 fn proper_oddities_are_served() {
-    play(async {
-        let mut stage = Stage::new().await;
-        let mut client = stage.client().await;
+    run(async {
+        let mut fixture = Fixture::new().await;
+        let mut client = fixture.client().await;
         let waits = "PUT /once/a HTTP/1.1\r\nHost: h\r\nTry-Id: t1\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n";
         client.write_all(waits.as_bytes()).await.expect("sent");
         assert_eq!(
@@ -411,7 +415,7 @@
             ("GET /safe/b ", "\r\n\r\n"),
             ("BREW /once/c?d ", "\r\n\r\n"),
         ] {
-            let asked = stage.asked().await;
+            let asked = fixture.asked().await;
             assert!(
                 asked.text.starts_with(begin) && asked.text.ends_with(end),
                 "{}",
@@ -425,26 +429,26 @@
 }
 
 /// Guards against clients that hold connections for ever, and against ending one under a request: one that sends
-/// nothing is let go, a head or a body that stops is answered with 408, and an appliance may take its time.
+/// nothing is let go, a head or a body that stops is answered with 408, and an endpoint may take its time.
 #[test]
 fn time_runs_out_for_clients_but_not_for_requests() {
-    play(async {
+    run(async {
         let short = r#""allowances":{"header":"150ms","idle":"300ms","#;
-        let mut stage = Stage::with(&EDITION.replace(r#""allowances":{"#, short)).await;
-        let mut busy = stage.client().await;
+        let mut fixture = Fixture::with(&CONFIG.replace(r#""allowances":{"#, short)).await;
+        let mut busy = fixture.client().await;
         busy.write_all(request("POST", "/once/a", "t1").as_bytes())
             .await
             .expect("sent");
-        let mut head = stage.client().await;
+        let mut head = fixture.client().await;
         head.write_all(b"GET /safe/b HTTP/1.1\r\nHo")
             .await
             .expect("sent");
-        let mut body = stage.client().await;
+        let mut body = fixture.client().await;
         let long =
             request("PUT", "/once/b", "t2").replace("\r\n\r\n", "\r\nContent-Length: 9\r\n\r\nabc");
         body.write_all(long.as_bytes()).await.expect("sent");
-        let asked = stage.asked().await;
-        let mut idle = stage.client().await;
+        let asked = fixture.asked().await;
+        let mut idle = fixture.client().await;
         assert_eq!(rest(&mut idle).await, "");
         for late in [&mut head, &mut body] {
             let text = rest(late).await;
@@ -459,6 +463,6 @@
             .await
             .starts_with("HTTP/1.1 200 OK"));
         assert_eq!(rest(&mut busy).await, "");
-        assert!(stage.asked.try_recv().is_err(), "nothing more was asked");
+        assert!(fixture.asked.try_recv().is_err(), "nothing more was asked");
     });
 }
--- a/crates/gateway/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -1,6 +1,6 @@
 //! `magpieline-gateway store` on stores that the test has written.
 
-use magpieline_control_plane::state_machine::{Command, Kept, Phase, Records};
+use magpieline_control_plane::state_machine::{Command, ControlState, Phase, StoredConfig};
 use magpieline_raft::{Entry, HardState, NodeId, Payload, Snapshot, VoterSet, WriteBatch};
 use magpieline_raft_store::Store;
 use std::path::{Path, PathBuf};
@@ -42,9 +42,9 @@
     }
 }
 
-fn kept(number: u64) -> Command {
-    Command::Replace(Kept {
-        number,
+fn stored(number: u64) -> Command {
+    Command::ReplaceConfig(StoredConfig {
+        version: number,
         text: format!("{{\"edition\":{number}}}").into(),
     })
 }
@@ -52,45 +52,47 @@
 /// A store with a snapshot at 3, a command in two pieces, one that another leader cut off, and one that may not be in
 /// force yet.
 fn fill(dir: &Path) -> Store {
-    let mut records = Records::default();
-    records.apply(2, &kept(4));
+    let mut records = ControlState::default();
+    records.apply(2, &stored(4));
     records.apply(
         3,
-        &Command::Stands {
+        &Command::SetVersion {
             service: "calendar".into(),
             version: "v1".into(),
         },
     );
-    let seat = NodeId {
+    let node_id = NodeId {
         address: "10.1.0.16:7720".parse().expect("an address"),
         incarnation: 0,
     };
-    let members = VoterSet { voters: vec![seat] };
+    let members = VoterSet {
+        voters: vec![node_id],
+    };
     let snapshot = Snapshot {
         index: 3,
         term: 1,
         voters: members,
-        state: records.pack(),
+        state: records.encode(),
     };
     let command = |more, bytes: &[u8]| Payload::Command {
         more,
         bytes: bytes.to_vec(),
     };
     let (begin, edition) = (
-        Command::Begin {
+        Command::BeginRolloutV1 {
             service: "calendar".into(),
-            to: "v2".into(),
+            target_version: "v2".into(),
             within: 12_000_000,
         }
-        .pack(),
-        kept(5).pack(),
+        .encode(),
+        stored(5).encode(),
     );
-    let moving = Command::Advance {
+    let moving = Command::AdvanceRollout {
         service: "calendar".into(),
-        order: 5,
-        phase: Phase::Moving,
+        id: 5,
+        phase: Phase::Promoting,
     }
-    .pack();
+    .encode();
     let rows = [
         (1, command(true, &begin[..4])),
         (1, command(false, &begin[4..])),
@@ -110,10 +112,10 @@
     let hard_state = HardState {
         incarnation: 77,
         term: 2,
-        vote: Some(seat),
+        vote: Some(node_id),
         commit: 8,
     };
-    let mut granary = Store::open(dir).expect("a store");
+    let mut store = Store::open(dir).expect("a store");
     let batch = WriteBatch {
         hard_state,
         snapshot: Some(Arc::new(snapshot)),
@@ -121,8 +123,8 @@
         truncate_from: 4,
         entries,
     };
-    granary.write(&batch).expect("written");
-    granary
+    store.write(&batch).expect("written");
+    store
 }
 
 /// Guards against a store that is read wrong when it matters most: after the machine is gone.
--- a/crates/gateway/tests/store_recovery.rs
+++ b/crates/gateway/tests/store_recovery.rs
@@ -1,19 +1,19 @@
-//! What a sorting machine does about a store, or an entry, that it can't read.
+//! What a controller does about a store, or an entry, that it can't read.
 
-use magpieline_control_plane::state_machine::{Command, Records};
-use magpieline_gateway::controller::raft_driver::{Read, Stop};
-use magpieline_gateway::controller::store_recovery::Next;
+use magpieline_control_plane::state_machine::{Command, ControlState};
+use magpieline_gateway::controller::raft_driver::{DecodedAction, StopReason};
+use magpieline_gateway::controller::store_recovery::RecoveryStep;
 use magpieline_raft::{Action, Envelope, Message, NodeId};
 use magpieline_raft_store::{Corruption, StoreError};
 
 fn send() -> Action {
-    let seat = |last| NodeId {
+    let node_id = |last| NodeId {
         address: std::net::SocketAddrV4::new([10, 0, 0, last].into(), 7720),
         incarnation: 0,
     };
     Action::Send(Envelope {
-        from: seat(1),
-        to: seat(2),
+        from: node_id(1),
+        to: node_id(2),
         term: 3,
         message: Message::TimeoutNow,
     })
@@ -24,18 +24,18 @@
 }
 
 fn command() -> Vec<u8> {
-    Command::Stands {
+    Command::SetVersion {
         service: "calendar".into(),
         version: "v1".into(),
     }
-    .pack()
+    .encode()
 }
 
 /// Guards against a machine that logs what it can't read and goes on: it may lead then, with old state. And against a
 /// leader that tells others of an entry as in force which it could not read itself: nothing of that step leaves.
 #[test]
 fn what_cant_be_read_stops_the_machine_before_anything_else_is_done() {
-    let spoilt = |mut bytes: Vec<u8>| {
+    let truncated = |mut bytes: Vec<u8>| {
         bytes.truncate(bytes.len() - 1);
         bytes
     };
@@ -44,17 +44,22 @@
         apply(7, command()),
         Action::Restore {
             index: 9,
-            state: Records::default().pack(),
+            state: ControlState::default().encode(),
         },
     ];
-    assert_eq!(Read::all(&readable).expect("readable").len(), 2);
+    assert_eq!(
+        DecodedAction::decode_all(&readable)
+            .expect("readable")
+            .len(),
+        2
+    );
     let steps = [
         (
             8,
             vec![
                 send(),
                 apply(7, command()),
-                apply(8, spoilt(command())),
+                apply(8, truncated(command())),
                 apply(9, command()),
             ],
         ),
@@ -64,20 +69,23 @@
                 send(),
                 Action::Restore {
                     index: 9,
-                    state: spoilt(Records::default().pack()),
+                    state: truncated(ControlState::default().encode()),
                 },
             ],
         ),
     ];
     for (place, actions) in steps {
-        let Err(stop) = Read::all(&actions) else {
+        let Err(stop) = DecodedAction::decode_all(&actions) else {
             panic!("{place} was passed over")
         };
         assert!(
-            matches!(&stop, Stop::Unreadable(index, wrong) if *index == place && !wrong.newer),
+            matches!(&stop, StopReason::Undecodable(index, error) if *index == place && !error.is_newer_format),
             "{stop:?}"
         );
-        assert_eq!(Next::after(&stop), Next::SetAsideOnceApplied(place));
+        assert_eq!(
+            RecoveryStep::after(&stop),
+            RecoveryStep::QuarantineOnceApplied(place)
+        );
     }
 }
 
@@ -89,17 +97,17 @@
         bytes[0] += 2;
         bytes
     };
-    let Err(stop) = Read::all(&[apply(4, newer(command()))]) else {
+    let Err(stop) = DecodedAction::decode_all(&[apply(4, newer(command()))]) else {
         panic!("a newer command was read")
     };
-    assert!(matches!(&stop, Stop::Unreadable(4, wrong) if wrong.newer));
-    assert_eq!(Next::after(&stop), Next::Halt);
+    assert!(matches!(&stop, StopReason::Undecodable(4, error) if error.is_newer_format));
+    assert_eq!(RecoveryStep::after(&stop), RecoveryStep::Halt);
     assert_eq!(
-        Next::after(&Stop::Store(StoreError::NewerFormat {
+        RecoveryStep::after(&StopReason::Store(StoreError::NewerFormat {
             found: 3,
             expected: 2
         })),
-        Next::Halt
+        RecoveryStep::Halt
     );
     let flaw = Corruption {
         location: "log",
@@ -108,8 +116,11 @@
         expected: "the value's",
     };
     assert_eq!(
-        Next::after(&Stop::Store(StoreError::Corrupt(flaw))),
-        Next::SetAside
+        RecoveryStep::after(&StopReason::Store(StoreError::Corrupt(flaw))),
+        RecoveryStep::Quarantine
+    );
+    assert_eq!(
+        RecoveryStep::after(&StopReason::Shutdown),
+        RecoveryStep::Exit
     );
-    assert_eq!(Next::after(&Stop::Over), Next::Leave);
 }
--- a/crates/http1/fuzz/checks.rs
+++ b/crates/http1/fuzz/checks.rs
@@ -3,15 +3,17 @@
 
 #![allow(dead_code)] // each target uses one of them
 
-use magpieline_http1::framing::request_framing::{Bounds, Doorway, Requests, Stand, Step};
-use magpieline_http1::framing::response_framing::{Echo, Fault};
-use magpieline_http1::framing::Wrong;
+use magpieline_http1::framing::request_framing::{
+    ConnectionStatus, ParseStep, RequestFraming, RequestLimits, RequestParser,
+};
+use magpieline_http1::framing::response_framing::{ResponseFault, ResponseFraming};
+use magpieline_http1::framing::FramingError;
 
-const BOUNDS: Bounds = Bounds {
+const LIMITS: RequestLimits = RequestLimits {
     head_bytes: 600,
-    head: 3_000,
-    idle: 15_000,
-    rest: 15_000,
+    head_timeout: 3_000,
+    body_idle_timeout: 15_000,
+    keep_alive_timeout: 15_000,
 };
 
 /// Cuts bytes into pieces: 0 not at all, 1 into single ones.
@@ -35,21 +37,21 @@
 
 /// Where whole requests end in what a server was shown of one.
 fn whole(bytes: &[u8]) -> bool {
-    let (mut requests, mut at) = (Requests::default(), 0);
+    let (mut requests, mut at) = (RequestParser::default(), 0);
     loop {
         match requests.next(&bytes[at..], usize::MAX) {
-            Step::More | Step::Wrong(_) => return false,
-            Step::Blank(passed) => at += passed,
-            Step::Head(asked) => {
-                at += asked.len;
-                if asked.body.is_none() {
+            ParseStep::NeedMore | ParseStep::Invalid(_) => return false,
+            ParseStep::BlankLines(len) => at += len,
+            ParseStep::Head(head) => {
+                at += head.len;
+                if head.body.is_none() {
                     assert_eq!(at, bytes.len(), "nothing is shown behind a request");
                     return true;
                 }
             }
-            Step::Body { passed, whole } => {
-                at += passed;
-                if whole {
+            ParseStep::Body { len, is_end } => {
+                at += len;
+                if is_end {
                     assert_eq!(at, bytes.len(), "nothing is shown behind a request");
                     return true;
                 }
@@ -59,19 +61,19 @@
 }
 
 /// What a server is shown of a stream, request by request, and what is wrong with the stream.
-fn shown(cut: u8, stream: &[u8]) -> (Vec<Vec<u8>>, Option<Wrong>) {
-    let (mut door, mut requests) = (Doorway::new(0), Vec::<(u64, Vec<u8>)>::new());
+fn shown(cut: u8, stream: &[u8]) -> (Vec<Vec<u8>>, Option<FramingError>) {
+    let (mut door, mut requests) = (RequestFraming::new(0), Vec::<(u64, Vec<u8>)>::new());
     for mut piece in pieces(cut, stream) {
         while !piece.is_empty() {
-            let room = door.room(&BOUNDS).min(piece.len());
+            let room = door.capacity(&LIMITS).min(piece.len());
             if room == 0 {
                 break; // its client is held up
             }
-            door.feed(0, &BOUNDS, &piece[..room]);
+            door.feed(0, &LIMITS, &piece[..room]);
             piece = &piece[room..];
-            while let Some((number, _)) = door.work() {
-                let bytes = door.shown().to_vec();
-                door.took(0, bytes.len());
+            while let Some((number, _)) = door.current() {
+                let bytes = door.visible().to_vec();
+                door.consume(0, bytes.len());
                 match requests.last_mut().filter(|(n, _)| *n == number) {
                     Some((_, all)) => all.extend(bytes),
                     None => {
@@ -85,17 +87,17 @@
                 if !whole(&requests[requests.len() - 1].1) {
                     break;
                 }
-                door.answered();
-                door.settle(0, &BOUNDS);
+                door.on_answered();
+                door.advance(0, &LIMITS);
             }
         }
     }
-    let wrong = if let Stand::Answer(wrong) = door.stand() {
+    let wrong = if let ConnectionStatus::Rejected(wrong) = door.status() {
         Some(wrong)
     } else {
-        door.fault()
+        door.body_error()
     };
-    if door.fault().is_some() {
+    if door.body_error().is_some() {
         requests.pop(); // how much of it was shown depends on the pieces
     }
     (
@@ -106,7 +108,7 @@
 
 /// A client's stream: each request is shown whole, by itself and in its order; nothing of one that is unsound; the same
 /// however the stream is cut.
-pub fn doorway(input: &[u8]) {
+pub fn request_framing(input: &[u8]) {
     let Some((cut, stream)) = input.split_first() else {
         return;
     };
@@ -124,25 +126,25 @@
 }
 
 /// What is shown of the bytes that come for a request, and how the connection stands.
-fn heard(cut: u8, stream: &[u8], head: bool) -> (Vec<u8>, Option<Fault>, bool) {
-    let (mut echo, mut shown) = (Echo::default(), Vec::new());
-    assert!(echo.ask(b"t1", head));
-    echo.written();
-    assert!(!echo.call_off(), "it is written");
+fn heard(cut: u8, stream: &[u8], head: bool) -> (Vec<u8>, Option<ResponseFault>, bool) {
+    let (mut echo, mut shown) = (ResponseFraming::default(), Vec::new());
+    assert!(echo.announce(b"t1", head));
+    echo.on_written();
+    assert!(!echo.cancel(), "it is written");
     for piece in pieces(cut, stream) {
         echo.feed(piece);
-        shown.extend_from_slice(echo.shown());
-        let some = echo.shown().len();
-        echo.took(some);
-        assert!(echo.fault().is_none() || !echo.usable());
+        shown.extend_from_slice(echo.visible());
+        let some = echo.visible().len();
+        echo.consume(some);
+        assert!(echo.fault().is_none() || !echo.is_reusable());
     }
-    (shown, echo.fault(), echo.usable())
+    (shown, echo.fault(), echo.is_reusable())
 }
 
 /// An appliance's stream: nothing but the one answer with the id that is due is shown; the connection is usable only if
 /// nothing came behind it; the same however the stream is cut. Nothing at all is shown of what was not asked for, and
 /// nothing is written once it was called off.
-pub fn echo(input: &[u8]) {
+pub fn response_framing(input: &[u8]) {
     let Some((cut, stream)) = input.split_first() else {
         return;
     };
@@ -152,7 +154,7 @@
             let (other, wrong, useful) = heard(cut, stream, head);
             assert_eq!((fault, usable), (wrong, useful));
             // Of a body that can't be read on, more or less is shown; it never becomes whole.
-            let spoilt = matches!(fault, Some(Fault::Unreadable(_)));
+            let spoilt = matches!(fault, Some(ResponseFault::Unreadable(_)));
             assert!(
                 shown == other
                     || (spoilt && (shown.starts_with(&other) || other.starts_with(&shown)))
@@ -176,10 +178,10 @@
         }
         assert!(!usable || !shown.is_empty(), "it owes an answer");
     }
-    let mut quiet = Echo::default();
-    assert!(quiet.ask(b"t1", false));
+    let mut quiet = ResponseFraming::default();
+    assert!(quiet.announce(b"t1", false));
     quiet.feed(stream);
-    assert!(quiet.shown().is_empty());
-    assert!(quiet.call_off() && !quiet.usable() && quiet.fault().is_some());
-    assert!(!quiet.ask(b"t2", false));
+    assert!(quiet.visible().is_empty());
+    assert!(quiet.cancel() && !quiet.is_reusable() && quiet.fault().is_some());
+    assert!(!quiet.announce(b"t2", false));
 }
--- /dev/null
+++ b/crates/http1/fuzz/fuzz_targets/response_framing.rs
@@ -0,0 +1,6 @@
+#![no_main]
+
+#[path = "../checks.rs"]
+mod checks;
+
+libfuzzer_sys::fuzz_target!(|input: &[u8]| checks::response_framing(input));
--- a/crates/http1/src/framing/body.rs
+++ b/crates/http1/src/framing/body.rs
@@ -1,37 +1,41 @@
 //! Where a body ends.
 
-use super::lines::{in_quotes, in_token, in_value, Wrong};
+use super::lines::{is_quoted_byte, is_token_byte, is_value_byte, FramingError};
 
 /// Chunk extensions and trailers of one body together; hyper takes 16 KiB of each.
-const BESIDE: usize = 16_000;
+const MAX_METADATA_BYTES: usize = 16_000;
 /// Trailer lines; hyper takes 100.
-const MOST_TRAILERS: usize = 100;
+const MAX_TRAILER_LINES: usize = 100;
 
-/// A body that is being read.
+/// A body that is being parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum BodyParser {
     /// So many bytes are still to come.
     Length(u64),
-    Chunked(Chunks),
+    /// It comes in chunks.
+    Chunked(ChunkParser),
 }
 
-impl Body {
-    /// How many of the bytes belong to it, and whether it ends with them.
-    pub fn read(&mut self, bytes: &[u8]) -> Result<(usize, bool), Wrong> {
+impl BodyParser {
+    /// Parses bytes that have come. Returns how many of them belong to the body, and whether it ends with them.
+    ///
+    /// # Errors
+    ///
+    /// If the chunks are not framed as they must be.
+    pub fn parse(&mut self, bytes: &[u8]) -> Result<(usize, bool), FramingError> {
         match self {
-            Body::Length(left) => {
-                let passed =
-                    usize::try_from(*left).map_or(bytes.len(), |left| left.min(bytes.len()));
-                *left -= passed as u64;
-                Ok((passed, *left == 0))
+            BodyParser::Length(left) => {
+                let len = usize::try_from(*left).map_or(bytes.len(), |left| left.min(bytes.len()));
+                *left -= len as u64;
+                Ok((len, *left == 0))
             }
-            Body::Chunked(chunks) => chunks.read(bytes),
+            BodyParser::Chunked(chunks) => chunks.parse(bytes),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
+enum ChunkState {
     Size,
     /// Spaces behind the size or an extension: another extension must follow.
     Gap,
@@ -43,127 +47,160 @@
     Quoted,
     Escaped,
     QuotedEnd,
-    SizeFeed,
+    SizeLineFeed,
     Data,
-    DataReturn,
-    DataFeed,
+    DataCarriageReturn,
+    DataLineFeed,
     TrailerStart,
     TrailerName,
     TrailerValue,
-    TrailerFeed,
-    EndFeed,
+    TrailerLineFeed,
+    EndLineFeed,
 }
 
 /// A body in chunks (RFC 9112, 7.1).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Chunks {
-    at: At,
-    /// Of the chunk being read: its size, then what is still to come of it.
+pub struct ChunkParser {
+    state: ChunkState,
+    /// Of the current chunk: its size, then what is still to come of it.
     left: u64,
     digits: u8,
     /// Bytes of extensions and trailers so far, and trailer lines.
-    beside: usize,
+    metadata_bytes: usize,
     trailers: usize,
 }
 
-impl Chunks {
-    pub fn new() -> Chunks {
-        Chunks {
-            at: At::Size,
+impl ChunkParser {
+    /// Creates the state at the beginning of a body.
+    pub fn new() -> ChunkParser {
+        ChunkParser {
+            state: ChunkState::Size,
             left: 0,
             digits: 0,
-            beside: 0,
+            metadata_bytes: 0,
             trailers: 0,
         }
     }
 
-    fn read(&mut self, bytes: &[u8]) -> Result<(usize, bool), Wrong> {
-        let mut passed = 0;
-        while passed < bytes.len() {
-            if self.at == At::Data {
-                let rest = bytes.len() - passed;
+    fn parse(&mut self, bytes: &[u8]) -> Result<(usize, bool), FramingError> {
+        let mut len = 0;
+        while len < bytes.len() {
+            if self.state == ChunkState::Data {
+                let rest = bytes.len() - len;
                 let some = usize::try_from(self.left).map_or(rest, |left| left.min(rest));
-                passed += some;
+                len += some;
                 self.left -= some as u64;
                 if self.left == 0 {
-                    self.at = At::DataReturn;
+                    self.state = ChunkState::DataCarriageReturn;
                 }
                 continue;
             }
-            let ended = self.at == At::EndFeed;
-            self.at = self.follow(bytes[passed])?;
-            passed += 1;
+            let ended = self.state == ChunkState::EndLineFeed;
+            self.state = self.next_state(bytes[len])?;
+            len += 1;
             if ended {
-                return Ok((passed, true));
+                return Ok((len, true));
             }
             if !matches!(
-                self.at,
-                At::Size | At::SizeFeed | At::Data | At::DataReturn | At::DataFeed
+                self.state,
+                ChunkState::Size
+                    | ChunkState::SizeLineFeed
+                    | ChunkState::Data
+                    | ChunkState::DataCarriageReturn
+                    | ChunkState::DataLineFeed
             ) {
-                self.beside += 1;
-                if self.beside > BESIDE {
-                    return Err(Wrong::TooLong);
+                self.metadata_bytes += 1;
+                if self.metadata_bytes > MAX_METADATA_BYTES {
+                    return Err(FramingError::TooLarge);
                 }
             }
         }
-        Ok((passed, false))
+        Ok((len, false))
     }
 
     /// The state after one byte that is not data.
-    fn follow(&mut self, byte: u8) -> Result<At, Wrong> {
-        let next = match (self.at, byte) {
-            (At::Size, b'0'..=b'9' | b'a'..=b'f' | b'A'..=b'F') if self.digits < 16 => {
+    fn next_state(&mut self, byte: u8) -> Result<ChunkState, FramingError> {
+        let next = match (self.state, byte) {
+            (ChunkState::Size, b'0'..=b'9' | b'a'..=b'f' | b'A'..=b'F') if self.digits < 16 => {
                 self.digits += 1;
                 self.left = self.left << 4 | u64::from((byte as char).to_digit(16).unwrap_or(0));
-                At::Size
+                ChunkState::Size
             }
-            (At::Size, _) if self.digits == 0 => return Err(Wrong::Chunk),
-            (At::Size | At::ExtensionName | At::ExtensionValue | At::QuotedEnd, b'\r') => {
-                At::SizeFeed
+            (ChunkState::Size, _) if self.digits == 0 => return Err(FramingError::Chunk),
+            (
+                ChunkState::Size
+                | ChunkState::ExtensionName
+                | ChunkState::ExtensionValue
+                | ChunkState::QuotedEnd,
+                b'\r',
+            ) => ChunkState::SizeLineFeed,
+            (
+                ChunkState::Size
+                | ChunkState::Gap
+                | ChunkState::ExtensionValue
+                | ChunkState::QuotedEnd,
+                b';',
+            ) => ChunkState::ExtensionStart,
+            (ChunkState::ExtensionName | ChunkState::ExtensionNameGap, b';') => {
+                ChunkState::ExtensionStart
             }
-            (At::Size | At::Gap | At::ExtensionValue | At::QuotedEnd, b';') => At::ExtensionStart,
-            (At::ExtensionName | At::ExtensionNameGap, b';') => At::ExtensionStart,
-            (At::Size | At::Gap | At::ExtensionValue | At::QuotedEnd, b' ' | b'\t') => At::Gap,
-            (At::ExtensionStart, b' ' | b'\t') => At::ExtensionStart,
-            (At::ExtensionName | At::ExtensionNameGap, b' ' | b'\t') => At::ExtensionNameGap,
-            (At::ExtensionName | At::ExtensionNameGap, b'=') => At::ExtensionValueStart,
-            (At::ExtensionValueStart, b' ' | b'\t') => At::ExtensionValueStart,
-            (At::ExtensionStart | At::ExtensionName, b) if in_token(b) => At::ExtensionName,
-            (At::ExtensionValueStart | At::ExtensionValue, b) if in_token(b) => At::ExtensionValue,
-            (At::ExtensionValueStart, b'"') => At::Quoted,
-            (At::Quoted, b'"') => At::QuotedEnd,
-            (At::Quoted, b'\\') => At::Escaped,
-            (At::Quoted, b) if in_quotes(b) => At::Quoted,
-            (At::Escaped, b) if in_value(b) => At::Quoted,
-            (At::SizeFeed, b'\n') if self.left > 0 => At::Data,
-            (At::SizeFeed, b'\n') => At::TrailerStart,
-            (At::DataReturn, b'\r') => At::DataFeed,
-            (At::DataFeed, b'\n') => {
+            (
+                ChunkState::Size
+                | ChunkState::Gap
+                | ChunkState::ExtensionValue
+                | ChunkState::QuotedEnd,
+                b' ' | b'\t',
+            ) => ChunkState::Gap,
+            (ChunkState::ExtensionStart, b' ' | b'\t') => ChunkState::ExtensionStart,
+            (ChunkState::ExtensionName | ChunkState::ExtensionNameGap, b' ' | b'\t') => {
+                ChunkState::ExtensionNameGap
+            }
+            (ChunkState::ExtensionName | ChunkState::ExtensionNameGap, b'=') => {
+                ChunkState::ExtensionValueStart
+            }
+            (ChunkState::ExtensionValueStart, b' ' | b'\t') => ChunkState::ExtensionValueStart,
+            (ChunkState::ExtensionStart | ChunkState::ExtensionName, b) if is_token_byte(b) => {
+                ChunkState::ExtensionName
+            }
+            (ChunkState::ExtensionValueStart | ChunkState::ExtensionValue, b)
+                if is_token_byte(b) =>
+            {
+                ChunkState::ExtensionValue
+            }
+            (ChunkState::ExtensionValueStart, b'"') => ChunkState::Quoted,
+            (ChunkState::Quoted, b'"') => ChunkState::QuotedEnd,
+            (ChunkState::Quoted, b'\\') => ChunkState::Escaped,
+            (ChunkState::Quoted, b) if is_quoted_byte(b) => ChunkState::Quoted,
+            (ChunkState::Escaped, b) if is_value_byte(b) => ChunkState::Quoted,
+            (ChunkState::SizeLineFeed, b'\n') if self.left > 0 => ChunkState::Data,
+            (ChunkState::SizeLineFeed, b'\n') => ChunkState::TrailerStart,
+            (ChunkState::DataCarriageReturn, b'\r') => ChunkState::DataLineFeed,
+            (ChunkState::DataLineFeed, b'\n') => {
                 self.digits = 0;
-                At::Size
+                ChunkState::Size
             }
-            (At::TrailerStart, b'\r') => At::EndFeed,
-            (At::TrailerStart, b) if in_token(b) => {
+            (ChunkState::TrailerStart, b'\r') => ChunkState::EndLineFeed,
+            (ChunkState::TrailerStart, b) if is_token_byte(b) => {
                 self.trailers += 1;
-                if self.trailers > MOST_TRAILERS {
-                    return Err(Wrong::TooLong);
+                if self.trailers > MAX_TRAILER_LINES {
+                    return Err(FramingError::TooLarge);
                 }
-                At::TrailerName
+                ChunkState::TrailerName
             }
-            (At::TrailerName, b) if in_token(b) => At::TrailerName,
-            (At::TrailerName, b':') => At::TrailerValue,
-            (At::TrailerValue, b'\r') => At::TrailerFeed,
-            (At::TrailerValue, b) if in_value(b) => At::TrailerValue,
-            (At::TrailerFeed, b'\n') => At::TrailerStart,
-            (At::EndFeed, b'\n') => At::EndFeed,
-            _ => return Err(Wrong::Chunk),
+            (ChunkState::TrailerName, b) if is_token_byte(b) => ChunkState::TrailerName,
+            (ChunkState::TrailerName, b':') => ChunkState::TrailerValue,
+            (ChunkState::TrailerValue, b'\r') => ChunkState::TrailerLineFeed,
+            (ChunkState::TrailerValue, b) if is_value_byte(b) => ChunkState::TrailerValue,
+            (ChunkState::TrailerLineFeed, b'\n') => ChunkState::TrailerStart,
+            (ChunkState::EndLineFeed, b'\n') => ChunkState::EndLineFeed,
+            _ => return Err(FramingError::Chunk),
         };
         Ok(next)
     }
 }
 
-impl Default for Chunks {
-    fn default() -> Chunks {
-        Chunks::new()
+impl Default for ChunkParser {
+    fn default() -> ChunkParser {
+        ChunkParser::new()
     }
 }
--- a/crates/http1/src/framing/head.rs
+++ b/crates/http1/src/framing/head.rs
@@ -1,337 +1,379 @@
-//! Heads of requests and answers, read strictly.
+//! Heads of requests and responses, parsed strictly.
 
-use super::body::{Body, Chunks};
-use super::lines::{self, field, in_host, in_target, in_token, trimmed, Lines, Wrong};
+use super::body::{BodyParser, ChunkParser};
+use super::lines::{
+    self, header_line, is_host_byte, is_target_byte, is_token_byte, trim, FramingError, LineReader,
+};
+use std::ops::Range;
 
 /// Header lines of one head; hyper takes 100.
-const MOST_FIELDS: usize = 100;
+const MAX_HEADER_LINES: usize = 100;
+/// Digits of a length; so many always fit.
+const MAX_LENGTH_DIGITS: usize = 19;
+const HTTP_1_0: &[u8] = b"HTTP/1.0";
 
-/// What header lines say about framing, in requests and answers alike.
+/// The version of a message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Version {
+    Http10,
+    Http11,
+}
+
+/// What header lines say about framing, in requests and responses alike.
 #[derive(Clone, Debug, Default)]
-struct Facts {
-    fields: usize,
-    length: Option<u64>,
-    chunked: bool,
+struct FramingHeaders {
+    lines: usize,
+    content_length: Option<u64>,
+    is_chunked: bool,
     close: bool,
     keep_alive: bool,
 }
 
-impl Facts {
-    fn take(&mut self, name: &[u8], value: &[u8]) -> Result<(), Wrong> {
-        self.fields += 1;
-        if self.fields > MOST_FIELDS {
-            return Err(Wrong::TooLong);
+impl FramingHeaders {
+    fn add(&mut self, name: &[u8], value: &[u8]) -> Result<(), FramingError> {
+        self.lines += 1;
+        if self.lines > MAX_HEADER_LINES {
+            return Err(FramingError::TooLarge);
         }
+        // Lengths first: most lines are none of these.
         match name.len() {
-            10 if name.eq_ignore_ascii_case(b"connection") => {
-                for word in value.split(|b| *b == b',').map(trimmed) {
-                    self.close |= word.eq_ignore_ascii_case(b"close");
-                    self.keep_alive |= word.eq_ignore_ascii_case(b"keep-alive");
-                }
-            }
+            10 if name.eq_ignore_ascii_case(b"connection") => self.add_connection(value),
             14 if name.eq_ignore_ascii_case(b"content-length") => {
-                // A repeated one says nothing new at best. Nineteen digits always fit.
-                if self.length.is_some() || value.is_empty() || value.len() > 19 {
-                    return Err(Wrong::Length);
-                }
-                let digit = |b: &u8| {
-                    (*b as char)
-                        .to_digit(10)
-                        .map(u64::from)
-                        .ok_or(Wrong::Length)
-                };
-                let number = value
-                    .iter()
-                    .try_fold(0, |sum: u64, b| Ok(sum * 10 + digit(b)?))?;
-                self.length = Some(number);
+                self.add_content_length(value)?;
             }
             17 if name.eq_ignore_ascii_case(b"transfer-encoding") => {
-                if self.chunked || !value.eq_ignore_ascii_case(b"chunked") {
-                    return Err(Wrong::Coding);
+                if self.is_chunked || !value.eq_ignore_ascii_case(b"chunked") {
+                    return Err(FramingError::TransferCoding);
                 }
-                self.chunked = true;
+                self.is_chunked = true;
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn body(&self) -> Result<Option<Body>, Wrong> {
-        match (self.length, self.chunked) {
-            (Some(_), true) => Err(Wrong::Length),
-            (_, true) => Ok(Some(Body::Chunked(Chunks::new()))),
-            (length, false) => Ok(length.map(Body::Length)),
+    fn add_connection(&mut self, value: &[u8]) {
+        for option in value.split(|byte| *byte == b',').map(trim) {
+            self.close |= option.eq_ignore_ascii_case(b"close");
+            self.keep_alive |= option.eq_ignore_ascii_case(b"keep-alive");
+        }
+    }
+
+    /// A repeated length says nothing new at best.
+    fn add_content_length(&mut self, value: &[u8]) -> Result<(), FramingError> {
+        let is_plain = value.iter().all(u8::is_ascii_digit);
+        let has_length = (1..=MAX_LENGTH_DIGITS).contains(&value.len());
+        if self.content_length.is_some() || !has_length || !is_plain {
+            return Err(FramingError::ContentLength);
+        }
+        let length = value
+            .iter()
+            .fold(0, |sum, byte| sum * 10 + u64::from(byte - b'0'));
+        self.content_length = Some(length);
+        Ok(())
+    }
+
+    /// Returns the body that follows, as far as the header lines tell.
+    fn body(&self, version: Version) -> Result<Option<BodyParser>, FramingError> {
+        if self.is_chunked && self.content_length.is_some() {
+            return Err(FramingError::ContentLength);
+        }
+        if self.is_chunked && version == Version::Http10 {
+            return Err(FramingError::TransferCoding); // version 1.0 has no chunks
+        }
+        if self.is_chunked {
+            return Ok(Some(BodyParser::Chunked(ChunkParser::new())));
         }
+        Ok(self.content_length.map(BodyParser::Length))
     }
 }
 
-/// A request whose head is whole and sound.
+/// A whole and valid head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct RequestHead {
     /// Bytes of the head.
     pub len: usize,
-    /// None: nothing follows the head.
-    pub body: Option<Body>,
-    /// Its client sends nothing behind it.
-    pub last: bool,
+    /// What follows the head; none: nothing.
+    pub body: Option<BodyParser>,
+    /// Whether its client sends nothing behind it.
+    pub is_last: bool,
+}
+
+#[derive(Clone, Debug)]
+struct RequestLine {
+    target: Range<usize>,
+    version: Version,
 }
 
-/// Reads the head of a request out of bytes that grow.
+/// Parses the head of a request out of bytes that grow.
 #[derive(Clone, Debug, Default)]
-pub struct RequestHead {
-    lines: Lines,
-    /// Where the target lies, and whether the version is 1.0.
-    first: Option<(usize, usize, bool)>,
-    /// Where the host lies.
-    host: Option<(usize, usize)>,
-    /// It has a `Try-Id`.
-    named: bool,
-    facts: Facts,
+pub struct RequestHeadParser {
+    lines: LineReader,
+    request_line: Option<RequestLine>,
+    host: Option<Range<usize>>,
+    has_try_id: bool,
+    headers: FramingHeaders,
 }
 
-impl RequestHead {
-    /// `bytes` begin where the head does, and hold at least what they held before. None: it is not whole yet.
-    pub fn read(&mut self, bytes: &[u8], most: usize) -> Result<Option<Asked>, Wrong> {
+impl RequestHeadParser {
+    /// Parses what has come of a head of `max` bytes at most. `bytes` begin where the head does, and hold at least what they
+    /// held before. Returns none if the head is not whole yet.
+    ///
+    /// # Errors
+    ///
+    /// If it is no head that all readers read in the same way.
+    pub fn parse(&mut self, bytes: &[u8], max: usize) -> Result<Option<RequestHead>, FramingError> {
         // What can be no request is told from its first byte; a greeting of another protocol may hold no line.
-        if bytes.first().is_some_and(|b| !in_token(*b)) {
-            return Err(Wrong::FirstLine);
+        if bytes.first().is_some_and(|byte| !is_token_byte(*byte)) {
+            return Err(FramingError::StartLine);
         }
         loop {
-            let begin = self.lines.passed();
-            let Some(line) = self.lines.next(bytes, most)? else {
+            let begin = self.lines.consumed();
+            let Some(line) = self.lines.next(bytes, max)? else {
                 return Ok(None);
             };
-            let Some((_, _, old)) = self.first else {
-                self.first = Some(request_line(line)?);
+            let Some(request_line) = &self.request_line else {
+                self.request_line = Some(parse_request_line(line)?);
                 continue;
             };
             if line.is_empty() {
-                return self.whole(bytes, old).map(Some);
+                return self.finish(bytes, request_line).map(Some);
             }
-            let (name, value) = field(line)?;
-            if name.len() == 4 && name.eq_ignore_ascii_case(b"host") {
-                if self.host.is_some() || !value.iter().all(|b| in_host(*b)) {
-                    return Err(Wrong::Host);
-                }
-                let at = begin + (value.as_ptr() as usize - line.as_ptr() as usize);
-                self.host = Some((at, at + value.len()));
+            self.add_line(begin, line)?;
+        }
+    }
+
+    fn add_line(&mut self, begin: usize, line: &[u8]) -> Result<(), FramingError> {
+        let (name, value) = header_line(line)?;
+        if name.len() == 4 && name.eq_ignore_ascii_case(b"host") {
+            if self.host.is_some() || !value.iter().all(|byte| is_host_byte(*byte)) {
+                return Err(FramingError::Host);
             }
-            if name.len() == 6 && name.eq_ignore_ascii_case(b"try-id") {
-                if self.named {
-                    return Err(Wrong::Field); // whose answer it is to get can't be said
-                }
-                self.named = true;
+            self.host = Some(range_in(begin, line, value));
+        }
+        if name.len() == 6 && name.eq_ignore_ascii_case(b"try-id") {
+            if self.has_try_id {
+                return Err(FramingError::HeaderLine); // which response is its own can't be said
             }
-            self.facts.take(name, value)?;
+            self.has_try_id = true;
         }
+        self.headers.add(name, value)
     }
 
-    fn whole(&self, bytes: &[u8], old: bool) -> Result<Asked, Wrong> {
-        if !self.lines.plain(bytes) {
-            return Err(Wrong::Control);
-        }
-        let body = self.facts.body()?;
-        if old && self.facts.chunked {
-            return Err(Wrong::Coding); // version 1.0 knows no chunks
+    fn finish(&self, bytes: &[u8], line: &RequestLine) -> Result<RequestHead, FramingError> {
+        if !self.lines.has_no_control_characters(bytes) {
+            return Err(FramingError::ControlCharacter);
         }
-        let host = self.host.map(|(from, to)| &bytes[from..to]);
-        let target = self
-            .first
-            .map_or(&bytes[..0], |(from, to, _)| &bytes[from..to]);
-        match (host, authority(target)) {
-            (None, _) if !old => return Err(Wrong::Host),
-            (Some(host), Some(named)) if !host.eq_ignore_ascii_case(named) => {
-                return Err(Wrong::Host)
+        let body = self.headers.body(line.version)?;
+        let host = self.host.clone().map(|range| &bytes[range]);
+        match (host, authority(&bytes[line.target.clone()])) {
+            (None, _) if line.version == Version::Http11 => return Err(FramingError::Host),
+            (Some(host), Some(authority)) if !host.eq_ignore_ascii_case(authority) => {
+                return Err(FramingError::Host)
             }
             _ => {}
         }
-        let last = self.facts.close || (old && !self.facts.keep_alive);
-        let body = body.filter(|b| *b != Body::Length(0));
-        Ok(Asked {
-            len: self.lines.passed(),
-            body,
-            last,
+        let is_kept = line.version == Version::Http11 || self.headers.keep_alive;
+        Ok(RequestHead {
+            len: self.lines.consumed(),
+            body: body.filter(|body| *body != BodyParser::Length(0)),
+            is_last: self.headers.close || !is_kept,
         })
     }
 }
 
-/// Where the target lies in a request line, and whether its version is 1.0.
-fn request_line(line: &[u8]) -> Result<(usize, usize, bool), Wrong> {
-    let (rest, old) = match line.strip_suffix(b" HTTP/1.1") {
-        Some(rest) => (rest, false),
-        None => (
-            line.strip_suffix(b" HTTP/1.0").ok_or(Wrong::FirstLine)?,
-            true,
-        ),
+/// Returns where a value of a line lies in the bytes in which the line begins at `begin`.
+fn range_in(begin: usize, line: &[u8], value: &[u8]) -> Range<usize> {
+    let start = begin + (value.as_ptr() as usize - line.as_ptr() as usize);
+    start..start + value.len()
+}
+
+fn parse_request_line(line: &[u8]) -> Result<RequestLine, FramingError> {
+    let (rest, version) = match line.strip_suffix(b" HTTP/1.1") {
+        Some(rest) => (rest, Version::Http11),
+        None => {
+            let rest = line
+                .strip_suffix(HTTP_1_0)
+                .and_then(|rest| rest.strip_suffix(b" "));
+            (rest.ok_or(FramingError::StartLine)?, Version::Http10)
+        }
     };
-    let method = rest
-        .iter()
-        .position(|b| !in_token(*b))
-        .ok_or(Wrong::FirstLine)?;
+    let method = rest.iter().position(|byte| !is_token_byte(*byte));
+    let method = method.ok_or(FramingError::StartLine)?;
     let target = &rest[method + 1..];
-    if method == 0
-        || rest[method] != b' '
-        || target.is_empty()
-        || !target.iter().all(|b| in_target(*b))
-    {
-        return Err(Wrong::FirstLine);
+    let is_separated = method > 0 && rest[method] == b' ';
+    if !is_separated || target.is_empty() || !target.iter().all(|byte| is_target_byte(*byte)) {
+        return Err(FramingError::StartLine);
     }
-    Ok((method + 1, rest.len(), old))
+    Ok(RequestLine {
+        target: method + 1..rest.len(),
+        version,
+    })
 }
 
-/// The authority of a target in absolute form.
+/// Returns the authority of a target in absolute form.
 fn authority(target: &[u8]) -> Option<&[u8]> {
     if target.first() == Some(&b'/') {
         return None;
     }
-    let scheme = target.windows(3).position(|w| w == b"://")?;
+    let scheme = target.windows(3).position(|window| window == b"://")?;
     let rest = &target[scheme + 3..];
-    let end = rest
-        .iter()
-        .position(|b| matches!(b, b'/' | b'?'))
-        .unwrap_or(rest.len());
-    let named = &rest[..end];
-    Some(
-        named
-            .iter()
-            .rposition(|b| *b == b'@')
-            .map_or(named, |at| &named[at + 1..]),
-    )
+    let end = rest.iter().position(|byte| matches!(byte, b'/' | b'?'));
+    let authority = &rest[..end.unwrap_or(rest.len())];
+    let user = authority.iter().rposition(|byte| *byte == b'@');
+    Some(user.map_or(authority, |at| &authority[at + 1..]))
 }
 
-fn split(head: &[u8]) -> impl Iterator<Item = &[u8]> {
-    head.split(|b| *b == b'\n')
+fn lines_of(head: &[u8]) -> impl Iterator<Item = &[u8]> {
+    head.split(|byte| *byte == b'\n')
         .map(|line| line.strip_suffix(b"\r").unwrap_or(line))
 }
 
-/// Method and target of a head that was read before.
-pub fn first_of(head: &[u8]) -> Option<(&[u8], &[u8])> {
-    let mut words = split(head).next()?.split(|b| *b == b' ');
+/// Returns method and target of a head that was parsed before.
+pub fn method_and_target(head: &[u8]) -> Option<(&[u8], &[u8])> {
+    let mut words = lines_of(head).next()?.split(|byte| *byte == b' ');
     Some((words.next()?, words.next()?))
 }
 
-/// Header lines of a head that was read before.
-pub fn fields_of(head: &[u8]) -> impl Iterator<Item = (&[u8], &[u8])> {
-    split(head).skip(1).filter_map(|line| field(line).ok())
+/// Returns names and values of the header lines of a head that was parsed before.
+pub fn headers(head: &[u8]) -> impl Iterator<Item = (&[u8], &[u8])> {
+    lines_of(head)
+        .skip(1)
+        .filter_map(|line| header_line(line).ok())
 }
 
-/// How an answer ends.
+/// How a response ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ends {
+pub enum ResponseEnd {
     /// With its head.
-    AtOnce,
-    With(Body),
+    WithHead,
+    /// With a body.
+    WithBody(BodyParser),
 }
 
-/// An answer whose head is whole and sound.
+/// A whole and valid head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ResponseHead {
     /// Bytes of the head.
     pub len: usize,
+    /// Its status.
     pub status: u16,
-    pub ends: Ends,
+    /// How the response ends.
+    pub end: ResponseEnd,
     /// Where its `Try-Id` lies.
-    pub id: Option<(usize, usize)>,
+    pub id: Option<Range<usize>>,
 }
 
-impl Told {
-    /// Whether the answer proper follows.
-    pub fn interim(&self) -> bool {
+impl ResponseHead {
+    /// Whether the response proper follows.
+    pub fn is_interim(&self) -> bool {
         self.status < 200
     }
 }
 
-/// Reads the head of an answer out of bytes that grow.
+#[derive(Clone, Copy, Debug)]
+struct StatusLine {
+    status: u16,
+    version: Version,
+}
+
+/// Parses the head of a response out of bytes that grow.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerHead {
-    lines: Lines,
-    /// The status, and whether the version is 1.0.
-    first: Option<(u16, bool)>,
-    id: Option<(usize, usize)>,
-    facts: Facts,
+pub struct ResponseHeadParser {
+    lines: LineReader,
+    status_line: Option<StatusLine>,
+    id: Option<Range<usize>>,
+    headers: FramingHeaders,
 }
 
-impl AnswerHead {
-    /// As with requests; `bodiless`: it answers a HEAD.
-    pub fn read(
+impl ResponseHeadParser {
+    /// Parses what has come of a head of `max` bytes at most, as with requests. `is_head_request`: it answers a HEAD.
+    ///
+    /// # Errors
+    ///
+    /// If it is no head, or how the response ends can't be told.
+    pub fn parse(
         &mut self,
         bytes: &[u8],
-        most: usize,
-        bodiless: bool,
-    ) -> Result<Option<Told>, Wrong> {
-        let begins = bytes.len().min(5);
-        if bytes[..begins] != b"HTTP/"[..begins] {
-            return Err(Wrong::FirstLine);
+        max: usize,
+        is_head_request: bool,
+    ) -> Result<Option<ResponseHead>, FramingError> {
+        const BEGINNING: &[u8] = b"HTTP/";
+        let compared = bytes.len().min(BEGINNING.len());
+        if bytes[..compared] != BEGINNING[..compared] {
+            return Err(FramingError::StartLine);
         }
         loop {
-            let begin = self.lines.passed();
-            let Some(line) = self.lines.next(bytes, most)? else {
+            let begin = self.lines.consumed();
+            let Some(line) = self.lines.next(bytes, max)? else {
                 return Ok(None);
             };
-            let Some((status, old)) = self.first else {
-                self.first = Some(status_line(line)?);
+            let Some(status_line) = self.status_line else {
+                self.status_line = Some(parse_status_line(line)?);
                 continue;
             };
             if line.is_empty() {
-                if !self.lines.plain(bytes) {
-                    return Err(Wrong::Control);
+                if !self.lines.has_no_control_characters(bytes) {
+                    return Err(FramingError::ControlCharacter);
                 }
-                return self.whole(status, old, bodiless).map(Some);
+                return self.finish(status_line, is_head_request).map(Some);
             }
-            let (name, value) = field(line)?;
+            let (name, value) = header_line(line)?;
             if name.len() == 6 && name.eq_ignore_ascii_case(b"try-id") {
                 if self.id.is_some() {
-                    return Err(Wrong::Field); // whose answer it is can't be said
+                    return Err(FramingError::HeaderLine); // whose response it is can't be said
                 }
-                let at = begin + (value.as_ptr() as usize - line.as_ptr() as usize);
-                self.id = Some((at, at + value.len()));
+                self.id = Some(range_in(begin, line, value));
             }
-            self.facts.take(name, value)?;
+            self.headers.add(name, value)?;
         }
     }
 
-    fn whole(&self, status: u16, old: bool, bodiless: bool) -> Result<Told, Wrong> {
-        let body = self.facts.body()?;
-        if old && self.facts.chunked {
-            return Err(Wrong::Coding);
-        }
-        let ends = match (status, body) {
-            (101, _) => return Err(Wrong::Unasked),
-            (100..=199 | 204 | 304, _) => Ends::AtOnce,
-            (_, None) if !bodiless => return Err(Wrong::Endless),
-            (_, Some(body)) if !bodiless && body != Body::Length(0) => Ends::With(body),
-            _ => Ends::AtOnce,
+    fn finish(
+        &self,
+        line: StatusLine,
+        is_head_request: bool,
+    ) -> Result<ResponseHead, FramingError> {
+        let body = self.headers.body(line.version)?;
+        let end = match (line.status, body) {
+            (101, _) => return Err(FramingError::Unsolicited),
+            (100..=199 | 204 | 304, _) => ResponseEnd::WithHead,
+            (_, None) if !is_head_request => return Err(FramingError::UnknownEnd),
+            (_, Some(body)) if !is_head_request && body != BodyParser::Length(0) => {
+                ResponseEnd::WithBody(body)
+            }
+            _ => ResponseEnd::WithHead,
         };
-        Ok(Told {
-            len: self.lines.passed(),
-            status,
-            ends,
-            id: self.id,
+        Ok(ResponseHead {
+            len: self.lines.consumed(),
+            status: line.status,
+            end,
+            id: self.id.clone(),
         })
     }
 }
 
-/// The status of a status line, and whether its version is 1.0. The space before an empty reason may be missing.
-fn status_line(line: &[u8]) -> Result<(u16, bool), Wrong> {
-    let (rest, old) = match line.strip_prefix(b"HTTP/1.1 ") {
-        Some(rest) => (rest, false),
-        None => (
-            line.strip_prefix(b"HTTP/1.0 ").ok_or(Wrong::FirstLine)?,
-            true,
-        ),
+/// Parses a status line. The space before an empty reason may be missing.
+fn parse_status_line(line: &[u8]) -> Result<StatusLine, FramingError> {
+    let (rest, version) = match line.strip_prefix(b"HTTP/1.1 ") {
+        Some(rest) => (rest, Version::Http11),
+        None => {
+            let rest = line
+                .strip_prefix(HTTP_1_0)
+                .and_then(|rest| rest.strip_prefix(b" "));
+            (rest.ok_or(FramingError::StartLine)?, Version::Http10)
+        }
     };
-    let (digits, reason) = rest.split_at_checked(3).ok_or(Wrong::FirstLine)?;
-    let sound = digits.iter().all(u8::is_ascii_digit)
+    let (digits, reason) = rest.split_at_checked(3).ok_or(FramingError::StartLine)?;
+    let is_valid = digits.iter().all(u8::is_ascii_digit)
         && digits[0] >= b'1'
-        && reason.first().is_none_or(|b| *b == b' ')
-        && reason.iter().all(|b| lines::in_value(*b));
-    if !sound {
-        return Err(Wrong::FirstLine);
+        && reason.first().is_none_or(|byte| *byte == b' ')
+        && reason.iter().all(|byte| lines::is_value_byte(*byte));
+    if !is_valid {
+        return Err(FramingError::StartLine);
     }
-    Ok((
-        digits
-            .iter()
-            .fold(0, |sum, b| sum * 10 + u16::from(b - b'0')),
-        old,
-    ))
+    let status = digits
+        .iter()
+        .fold(0, |sum, digit| sum * 10 + u16::from(digit - b'0'));
+    Ok(StatusLine { status, version })
 }
--- a/crates/http1/src/framing/lines.rs
+++ b/crates/http1/src/framing/lines.rs
@@ -1,61 +1,64 @@
-//! What is wrong with a message, classes of bytes, and the lines that heads are made of.
+//! Why a message is refused, classes of bytes, and the lines that heads are made of.
 
-/// Why a message is not taken.
+/// Why a message is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// The first line is none that a request or an answer begins with.
-    FirstLine,
+pub enum FramingError {
+    /// The first line is none that a request or a response begins with.
+    StartLine,
     /// A line ends with a line feed alone.
-    BareFeed,
+    BareLineFeed,
     /// A header line without a colon, with a space before it or with an odd name, or one that goes on in the next.
-    Field,
+    HeaderLine,
     /// Control characters in a value.
-    Control,
+    ControlCharacter,
     /// No `Host`, more than one, or one that names no host or another one than the target.
     Host,
     /// Lengths that contradict each other or are no plain numbers, or a length beside a coding.
-    Length,
+    ContentLength,
     /// A transfer coding other than `chunked`.
-    Coding,
-    /// Chunks that are not framed as they should be.
+    TransferCoding,
+    /// Chunks that are not framed as they must be.
     Chunk,
     /// A head or what goes with chunks takes more bytes or lines than are allowed.
-    TooLong,
+    TooLarge,
     /// The head did not come in the time for it.
-    SlowHead,
+    HeadTimeout,
     /// The body stopped coming.
-    SlowBody,
-    /// An answer whose end can't be told from a break.
-    Endless,
-    /// An answer that nobody asked for, such as a change of protocol.
-    Unasked,
+    BodyTimeout,
+    /// A response whose end can't be told from a break.
+    UnknownEnd,
+    /// A response that nobody asked for, such as a change of protocol.
+    Unsolicited,
 }
 
-impl Wrong {
-    /// The status that a client is answered with; none of it has run.
+impl FramingError {
+    /// Returns the status that a client is answered with; nothing of its request has run.
     pub fn status(self) -> u16 {
         match self {
-            Wrong::TooLong => 431,
-            Wrong::SlowHead | Wrong::SlowBody => 408,
+            FramingError::TooLarge => 431,
+            FramingError::HeadTimeout | FramingError::BodyTimeout => 408,
             _ => 400,
         }
     }
 
+    /// Returns what a client is told of it.
     pub fn text(self) -> &'static str {
         match self {
-            Wrong::FirstLine => "The request line is not METHOD TARGET HTTP/1.1.",
-            Wrong::BareFeed => "A line ends without a carriage return.",
-            Wrong::Field => "A header line is not NAME: VALUE.",
-            Wrong::Control => "A header holds control characters.",
-            Wrong::Host => "Exactly one Host is expected, naming a host.",
-            Wrong::Length => "Exactly one length is expected, a plain number, or chunks.",
-            Wrong::Coding => "The only transfer coding is chunked.",
-            Wrong::Chunk => "The chunks are not framed as they should be.",
-            Wrong::TooLong => "The headers are too long.",
-            Wrong::SlowHead => "The headers did not come in time.",
-            Wrong::SlowBody => "The body did not come in time.",
-            Wrong::Endless => "The end of the body can't be told.",
-            Wrong::Unasked => "Nobody asked for it.",
+            FramingError::StartLine => "The request line is not METHOD TARGET HTTP/1.1.",
+            FramingError::BareLineFeed => "A line ends without a carriage return.",
+            FramingError::HeaderLine => "A header line is not NAME: VALUE.",
+            FramingError::ControlCharacter => "A header holds control characters.",
+            FramingError::Host => "Exactly one Host is expected, naming a host.",
+            FramingError::ContentLength => {
+                "Exactly one length is expected, a plain number, or chunks."
+            }
+            FramingError::TransferCoding => "The only transfer coding is chunked.",
+            FramingError::Chunk => "The chunks are not framed as they should be.",
+            FramingError::TooLarge => "The headers are too long.",
+            FramingError::HeadTimeout => "The headers did not come in time.",
+            FramingError::BodyTimeout => "The body did not come in time.",
+            FramingError::UnknownEnd => "The end of the body can't be told.",
+            FramingError::Unsolicited => "Nobody asked for it.",
         }
     }
 }
@@ -101,33 +104,38 @@
     class
 };
 
-fn is(byte: u8, class: u8) -> bool {
+fn is_in(byte: u8, class: u8) -> bool {
     CLASS[byte as usize] & class != 0
 }
 
-pub fn in_token(byte: u8) -> bool {
-    is(byte, TOKEN)
+/// Whether a byte may stand in a token: a method, a name.
+pub fn is_token_byte(byte: u8) -> bool {
+    is_in(byte, TOKEN)
 }
 
-pub fn in_value(byte: u8) -> bool {
-    is(byte, VALUE)
+/// Whether a byte may stand in a value.
+pub fn is_value_byte(byte: u8) -> bool {
+    is_in(byte, VALUE)
 }
 
-pub fn in_target(byte: u8) -> bool {
-    is(byte, TARGET)
+/// Whether a byte may stand in a target.
+pub fn is_target_byte(byte: u8) -> bool {
+    is_in(byte, TARGET)
 }
 
-pub fn in_host(byte: u8) -> bool {
-    is(byte, HOST)
+/// Whether a byte may stand in a host.
+pub fn is_host_byte(byte: u8) -> bool {
+    is_in(byte, HOST)
 }
 
-pub fn in_quotes(byte: u8) -> bool {
-    is(byte, QUOTED)
+/// Whether a byte may stand between quotes by itself.
+pub fn is_quoted_byte(byte: u8) -> bool {
+    is_in(byte, QUOTED)
 }
 
-/// Finds lines in bytes that grow; each byte is looked at once.
+/// Finds lines in bytes that grow; each byte is read once.
 #[derive(Clone, Debug, Default)]
-pub struct Lines {
+pub struct LineReader {
     /// Where the line that is being read begins, and up to where it has been looked at.
     begin: usize,
     seen: usize,
@@ -135,55 +143,60 @@
     count: usize,
 }
 
-impl Lines {
-    /// The next whole line without its end, if it is there. All lines together take `most` bytes at most.
-    pub fn next<'a>(&mut self, bytes: &'a [u8], most: usize) -> Result<Option<&'a [u8]>, Wrong> {
-        let Some(feed) = memchr::memchr(b'\n', &bytes[self.seen..]).map(|at| self.seen + at) else {
+impl LineReader {
+    /// Returns the next whole line without its end, if it is there. All lines together take `max` bytes at most.
+    pub fn next<'a>(
+        &mut self,
+        bytes: &'a [u8],
+        max: usize,
+    ) -> Result<Option<&'a [u8]>, FramingError> {
+        let Some(line_feed) = memchr::memchr(b'\n', &bytes[self.seen..]).map(|at| self.seen + at)
+        else {
             self.seen = bytes.len();
-            return if bytes.len() >= most {
-                Err(Wrong::TooLong)
+            return if bytes.len() >= max {
+                Err(FramingError::TooLarge)
             } else {
                 Ok(None)
             };
         };
-        if feed >= most {
-            return Err(Wrong::TooLong);
+        if line_feed >= max {
+            return Err(FramingError::TooLarge);
         }
-        let line = bytes[self.begin..feed]
+        let line = bytes[self.begin..line_feed]
             .strip_suffix(b"\r")
-            .ok_or(Wrong::BareFeed)?;
-        (self.begin, self.seen, self.count) = (feed + 1, feed + 1, self.count + 1);
+            .ok_or(FramingError::BareLineFeed)?;
+        (self.begin, self.seen, self.count) = (line_feed + 1, line_feed + 1, self.count + 1);
         Ok(Some(line))
     }
 
-    /// How many bytes the lines so far took.
-    pub fn passed(&self) -> usize {
+    /// Returns how many bytes the lines so far took.
+    pub fn consumed(&self) -> usize {
         self.begin
     }
 
     /// Whether the lines so far hold no control characters but tabs and their own ends. One look at all of them costs
     /// less than one at each.
-    pub fn plain(&self, bytes: &[u8]) -> bool {
+    pub fn has_no_control_characters(&self, bytes: &[u8]) -> bool {
         let odd = |b: &u8| u8::from(((*b < b' ') & (*b != b'\t')) | (*b == 0x7f));
         let some = |bytes: &[u8]| usize::from(bytes.iter().fold(0, |sum: u8, b| sum + odd(b)));
         bytes[..self.begin].chunks(128).map(some).sum::<usize>() == 2 * self.count
     }
 }
 
-/// Name and value of a header line; the name is checked.
-pub fn field(line: &[u8]) -> Result<(&[u8], &[u8]), Wrong> {
+/// Splits a header line into name and value; the name is checked.
+pub fn header_line(line: &[u8]) -> Result<(&[u8], &[u8]), FramingError> {
     let colon = line
         .iter()
-        .position(|b| !in_token(*b))
-        .ok_or(Wrong::Field)?;
+        .position(|b| !is_token_byte(*b))
+        .ok_or(FramingError::HeaderLine)?;
     if colon == 0 || line[colon] != b':' {
-        return Err(Wrong::Field);
+        return Err(FramingError::HeaderLine);
     }
-    Ok((&line[..colon], trimmed(&line[colon + 1..])))
+    Ok((&line[..colon], trim(&line[colon + 1..])))
 }
 
-/// Without spaces and tabs around it.
-pub fn trimmed(mut value: &[u8]) -> &[u8] {
+/// Returns a value without spaces and tabs around it.
+pub fn trim(mut value: &[u8]) -> &[u8] {
     while let [b' ' | b'\t', rest @ ..] = value {
         value = rest;
     }
--- a/crates/http1/src/framing/request_framing.rs
+++ b/crates/http1/src/framing/request_framing.rs
@@ -1,456 +1,490 @@
 //! A client's connection: what may be seen of it, in which order, and how it ends.
 //!
-//! Bytes are fed in as they come. The server behind is shown one request at a time, and nothing of a request whose
-//! head is not whole and sound. Requests behind the one in work are read ahead, so that those which may be answered
-//! early can be started. A request that can't be taken is answered in the place of the server, once all before it
-//! have been answered; nothing behind it is read.
-
-use super::body::Body;
-use super::head::{Asked, RequestHead};
-use super::lines::Wrong;
+//! Bytes are fed in as they come. The server behind sees one request at a time, and nothing of a request whose head is not
+//! whole and valid. Requests behind the current one are parsed ahead, so that idempotent ones can be started early. A
+//! request that can't be taken is answered in place of the server, once all before it have been answered; nothing
+//! behind it is read.
+
+use super::body::BodyParser;
+use super::head::{RequestHead, RequestHeadParser};
+use super::lines::FramingError;
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Requests that are read ahead of the one in work.
-pub const MOST_AHEAD: usize = 16;
-/// Bytes held at most, unless a head may be longer; then the client is held up.
-const MOST_HELD: usize = 64 << 10;
+/// Requests that are parsed ahead of the current one.
+pub const MAX_QUEUED_REQUESTS: usize = 16;
+/// Bytes that are held at most, unless a head may be longer; then the client is held up.
+const MAX_HELD_BYTES: usize = 64 << 10;
 /// Bytes behind the last request that are read and dropped, so that the end of the connection is seen behind them.
-const MOST_SUNK: usize = 64 << 10;
+const MAX_DISCARDED_BYTES: usize = 64 << 10;
 /// An empty buffer larger than this is not kept.
-const KEPT: usize = 2 << 10;
+const MAX_EMPTY_BUFFER: usize = 2 << 10;
 
 /// What clients may send, and how long it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct RequestLimits {
+    /// The longest head, in bytes.
     pub head_bytes: usize,
     /// From the first byte of a head to its last.
-    pub head: Micros,
+    pub head_timeout: Micros,
     /// Without a byte of a body that has begun.
-    pub idle: Micros,
+    pub body_idle_timeout: Micros,
     /// Without a request. A client may go by any that held since its connection came to rest.
-    pub rest: Micros,
+    pub keep_alive_timeout: Micros,
 }
 
-/// Where a connection stands.
+/// The status of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum ConnectionStatus {
+    /// It serves, or may serve.
     Open,
     /// All before it is answered: this is the answer to what came next, and the last.
-    Answer(Wrong),
-    /// No more requests will be served on it, and none is in work.
-    Over,
+    Rejected(FramingError),
+    /// No more requests will be served on it, and none is in progress.
+    Finished,
     /// It was without a request for too long.
-    Idle,
+    IdleTimeout,
 }
 
 /// What the bytes that come next are.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ParseStep {
     /// More are needed.
-    More,
-    /// Empty lines before a request.
-    Blank(usize),
-    Head(Asked),
+    NeedMore,
+    /// So many bytes of empty lines before a request.
+    BlankLines(usize),
+    /// A whole head.
+    Head(RequestHead),
+    /// So many bytes of a body.
     Body {
-        passed: usize,
-        whole: bool,
+        /// How many bytes.
+        len: usize,
+        /// Whether the body ends with them.
+        is_end: bool,
     },
-    Wrong(Wrong),
+    /// They are no request.
+    Invalid(FramingError),
 }
 
 /// Finds requests, one behind the other. It holds no bytes: what it has passed is not given again.
 #[derive(Clone, Debug, Default)]
-pub struct Requests {
-    head: RequestHead,
-    body: Option<Body>,
+pub struct RequestParser {
+    head: RequestHeadParser,
+    body: Option<BodyParser>,
 }
 
-impl Requests {
-    /// Heads take `most` bytes at most.
-    pub fn next(&mut self, bytes: &[u8], most: usize) -> Step {
+impl RequestParser {
+    /// Parses what comes next. Heads take `max_head_bytes` at most.
+    pub fn next(&mut self, bytes: &[u8], max_head_bytes: usize) -> ParseStep {
         if bytes.is_empty() {
-            return Step::More;
+            return ParseStep::NeedMore;
         }
-        if let Some(body) = &mut self.body {
-            return match body.read(bytes) {
-                Ok((passed, whole)) => {
-                    if whole {
-                        self.body = None;
-                    }
-                    Step::Body { passed, whole }
-                }
-                Err(wrong) => Step::Wrong(wrong),
-            };
+        if self.body.is_some() {
+            return self.next_of_body(bytes);
+        }
+        let blank_lines = bytes.chunks_exact(2).take_while(|pair| *pair == b"\r\n");
+        let blank = blank_lines.count() * 2;
+        if blank > 0 {
+            return ParseStep::BlankLines(blank);
         }
-        let blank = bytes
-            .chunks_exact(2)
-            .take_while(|pair| *pair == b"\r\n")
-            .count()
-            * 2;
-        match (blank, bytes) {
-            (1.., _) => return Step::Blank(blank),
-            (_, b"\r") => return Step::More,
-            _ => {}
+        if bytes == b"\r" {
+            return ParseStep::NeedMore;
+        }
+        match self.head.parse(bytes, max_head_bytes) {
+            Ok(None) => ParseStep::NeedMore,
+            Ok(Some(head)) => {
+                self.head = RequestHeadParser::default();
+                self.body.clone_from(&head.body);
+                ParseStep::Head(head)
+            }
+            Err(error) => ParseStep::Invalid(error),
         }
-        match self.head.read(bytes, most) {
-            Ok(None) => Step::More,
-            Ok(Some(asked)) => {
-                self.head = RequestHead::default();
-                self.body.clone_from(&asked.body);
-                Step::Head(asked)
+    }
+
+    fn next_of_body(&mut self, bytes: &[u8]) -> ParseStep {
+        let Some(body) = &mut self.body else {
+            return ParseStep::NeedMore;
+        };
+        match body.parse(bytes) {
+            Ok((len, is_end)) => {
+                if is_end {
+                    self.body = None;
+                }
+                ParseStep::Body { len, is_end }
             }
-            Err(wrong) => Step::Wrong(wrong),
+            Err(error) => ParseStep::Invalid(error),
         }
     }
 
-    /// Whether a body is being read.
-    fn in_body(&self) -> bool {
+    /// Whether a body is being parsed.
+    fn is_in_body(&self) -> bool {
         self.body.is_some()
     }
 }
 
-/// A request that is read ahead.
+/// A request that was parsed ahead.
 #[derive(Clone, Copy, Debug)]
-struct Behind {
+struct QueuedRequest {
     number: u64,
     /// Bytes of its head, and all that is held of it.
-    head: usize,
+    head_len: usize,
     len: usize,
-    whole: bool,
-    bodiless: bool,
-    taken: Micros,
-    /// It was offered to be started early.
-    offered: bool,
+    is_whole: bool,
+    has_body: bool,
+    received_at: Micros,
+    /// Whether it was offered to be started early.
+    was_offered: bool,
 }
 
 /// The request that the server has.
 #[derive(Clone, Copy, Debug)]
-struct Work {
+struct CurrentRequest {
     number: u64,
-    taken: Micros,
-    whole: bool,
-    answered: bool,
+    received_at: Micros,
+    is_whole: bool,
+    is_answered: bool,
 }
 
 /// A request that may be started before its turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Early<'a> {
+pub struct EarlyRequest<'a> {
+    /// Its number on its connection.
     pub number: u64,
     /// When its head was whole.
-    pub taken: Micros,
+    pub received_at: Micros,
+    /// Its head.
     pub head: &'a [u8],
 }
 
 /// One connection. Requests on it are numbered from 1.
 #[derive(Clone, Debug)]
-pub struct Doorway {
-    requests: Requests,
-    /// What has come and was not taken yet, from `start`: up to `open` the server may take it, up to `read` it was
-    /// found sound.
+pub struct RequestFraming {
+    parser: RequestParser,
+    /// What has come and was not consumed yet, from `start`: the server may see it up to `visible_end`, it was parsed up to
+    /// `parsed_end`.
     held: Vec<u8>,
     start: usize,
-    open: usize,
-    read: usize,
-    behind: VecDeque<Behind>,
-    work: Option<Work>,
-    /// Number of the newest request found.
+    visible_end: usize,
+    parsed_end: usize,
+    queue: VecDeque<QueuedRequest>,
+    current: Option<CurrentRequest>,
+    /// The number of the newest request found.
     newest: u64,
-    /// All requests not answered yet up to this one are known to be safe.
-    safe: u64,
-    /// The newest request is the last.
-    last: bool,
+    /// All requests not answered yet up to this number are known to be idempotent.
+    idempotent_up_to: u64,
+    /// Whether the newest request is the last.
+    is_last: bool,
     /// What is wrong with what came behind the newest request, or with its body.
-    wrong: Option<Wrong>,
-    /// What is wrong with the body of the request in work.
-    fault: Option<Wrong>,
-    over: bool,
-    idle: bool,
-    /// The first byte of a head that is not whole.
+    error: Option<FramingError>,
+    /// What is wrong with the body of the current request.
+    body_error: Option<FramingError>,
+    is_finished: bool,
+    is_idle: bool,
+    /// When the first byte of a head came that is not whole.
     head_since: Option<Micros>,
-    /// The newest byte of a body, or when its request's turn came.
+    /// When the newest byte of a body came, or its request's turn.
     body_since: Micros,
-    /// Since when nothing is in work.
-    free_since: Micros,
-    /// The longest rest that was allowed since then.
-    rest: Micros,
+    /// Since when there is no current request.
+    idle_since: Micros,
+    /// The longest keep-alive time that was allowed since then.
+    keep_alive: Micros,
     /// Without a request it ends by then.
-    leaves: Micros,
-    sunk: usize,
+    shutdown_at: Micros,
+    discarded: usize,
 }
 
-impl Doorway {
-    pub fn new(now: Micros) -> Doorway {
-        Doorway {
-            requests: Requests::default(),
+impl RequestFraming {
+    /// Creates the state of a new connection.
+    pub fn new(now: Micros) -> RequestFraming {
+        RequestFraming {
+            parser: RequestParser::default(),
             held: Vec::new(),
             start: 0,
-            open: 0,
-            read: 0,
-            behind: VecDeque::new(),
-            work: None,
+            visible_end: 0,
+            parsed_end: 0,
+            queue: VecDeque::new(),
+            current: None,
             newest: 0,
-            safe: 0,
-            last: false,
-            wrong: None,
-            fault: None,
-            over: false,
-            idle: false,
+            idempotent_up_to: 0,
+            is_last: false,
+            error: None,
+            body_error: None,
+            is_finished: false,
+            is_idle: false,
             head_since: None,
             body_since: now,
-            free_since: now,
-            rest: 0,
-            leaves: Micros::MAX,
-            sunk: 0,
+            idle_since: now,
+            keep_alive: 0,
+            shutdown_at: Micros::MAX,
+            discarded: 0,
         }
     }
 
-    /// So many bytes may come now; none: the client is held up.
-    pub fn room(&self, bounds: &Bounds) -> usize {
-        if self.deaf() {
-            return MOST_SUNK.saturating_sub(self.sunk);
+    /// Returns how many bytes may come now; none: the client is held up.
+    pub fn capacity(&self, limits: &RequestLimits) -> usize {
+        if self.is_discarding() {
+            return MAX_DISCARDED_BYTES.saturating_sub(self.discarded);
         }
-        let most = MOST_HELD.max(bounds.head_bytes.saturating_add(KEPT));
-        most.saturating_sub(self.held.len() - self.start)
+        let max = MAX_HELD_BYTES.max(limits.head_bytes.saturating_add(MAX_EMPTY_BUFFER));
+        max.saturating_sub(self.held.len() - self.start)
     }
 
-    /// Bytes that have come, at most as many as there is room for.
-    pub fn feed(&mut self, now: Micros, bounds: &Bounds, bytes: &[u8]) {
-        if self.deaf() {
-            self.sunk += bytes.len();
+    /// Takes bytes that have come, at most as many as there is capacity for.
+    pub fn feed(&mut self, now: Micros, limits: &RequestLimits, bytes: &[u8]) {
+        if self.is_discarding() {
+            self.discarded += bytes.len();
             return;
         }
-        if self.start > KEPT && self.start * 2 > self.held.len() {
-            self.held.drain(..self.start);
-            (self.open, self.read) = (self.open - self.start, self.read - self.start);
-            self.start = 0;
+        if self.start > MAX_EMPTY_BUFFER && self.start * 2 > self.held.len() {
+            self.compact();
         }
         self.held.extend_from_slice(bytes);
-        self.read_on(now, bounds);
+        self.parse_ahead(now, limits);
+    }
+
+    /// Drops what was consumed.
+    fn compact(&mut self) {
+        self.held.drain(..self.start);
+        self.visible_end -= self.start;
+        self.parsed_end -= self.start;
+        self.start = 0;
     }
 
     /// Whether nothing that comes matters any more.
-    fn deaf(&self) -> bool {
-        self.over
-            || self.wrong.is_some()
-            || self.fault.is_some()
-            || (self.last && !self.requests.in_body())
+    fn is_discarding(&self) -> bool {
+        self.is_finished
+            || self.error.is_some()
+            || self.body_error.is_some()
+            || (self.is_last && !self.parser.is_in_body())
     }
 
-    fn read_on(&mut self, now: Micros, bounds: &Bounds) {
-        while !self.deaf() && (self.behind.len() < MOST_AHEAD || self.requests.in_body()) {
+    fn parse_ahead(&mut self, now: Micros, limits: &RequestLimits) {
+        while !self.is_discarding()
+            && (self.queue.len() < MAX_QUEUED_REQUESTS || self.parser.is_in_body())
+        {
             match self
-                .requests
-                .next(&self.held[self.read..], bounds.head_bytes)
+                .parser
+                .next(&self.held[self.parsed_end..], limits.head_bytes)
             {
-                Step::More => {
-                    // What stands still because the client is held up does not count.
-                    let begun = self.read < self.held.len() && self.room(bounds) > 0;
-                    self.head_since = if begun {
-                        self.head_since.or(Some(now))
-                    } else {
-                        None
-                    };
+                ParseStep::NeedMore => {
+                    self.wait_for_more(now, limits);
                     return;
                 }
-                Step::Blank(passed) => {
-                    self.held.drain(self.read..self.read + passed);
-                }
-                Step::Head(asked) => {
-                    self.read += asked.len;
-                    self.newest += 1;
-                    self.last = asked.last;
-                    let whole = asked.body.is_none();
-                    self.behind.push_back(Behind {
-                        number: self.newest,
-                        head: asked.len,
-                        len: asked.len,
-                        whole,
-                        bodiless: whole,
-                        taken: now,
-                        offered: false,
-                    });
-                    self.head_since = None;
-                    if self.work.is_none() {
-                        self.open_next(now);
-                    }
+                ParseStep::BlankLines(len) => {
+                    self.held.drain(self.parsed_end..self.parsed_end + len);
                 }
-                Step::Body { passed, whole } => {
-                    self.read += passed;
-                    match (self.behind.back_mut(), &mut self.work) {
-                        (Some(behind), _) => {
-                            behind.len += passed;
-                            behind.whole = whole;
-                        }
-                        (None, Some(work)) => {
-                            self.open += passed;
-                            work.whole = whole;
-                            self.body_since = now;
-                        }
-                        (None, None) => debug_assert!(false, "a body belongs to a request"),
-                    }
-                }
-                Step::Wrong(wrong) => self.stop(wrong),
+                ParseStep::Head(head) => self.on_head(now, &head),
+                ParseStep::Body { len, is_end } => self.on_body(now, len, is_end),
+                ParseStep::Invalid(error) => self.on_error(error),
             }
         }
         self.head_since = None;
     }
 
+    /// A head that has begun runs against its timeout. What stands still because the client is held up does not.
+    fn wait_for_more(&mut self, now: Micros, limits: &RequestLimits) {
+        let has_begun = self.parsed_end < self.held.len() && self.capacity(limits) > 0;
+        self.head_since = match has_begun {
+            true => self.head_since.or(Some(now)),
+            false => None,
+        };
+    }
+
+    fn on_head(&mut self, now: Micros, head: &RequestHead) {
+        self.parsed_end += head.len;
+        self.newest += 1;
+        self.is_last = head.is_last;
+        self.queue.push_back(QueuedRequest {
+            number: self.newest,
+            head_len: head.len,
+            len: head.len,
+            is_whole: head.body.is_none(),
+            has_body: head.body.is_some(),
+            received_at: now,
+            was_offered: false,
+        });
+        self.head_since = None;
+        if self.current.is_none() {
+            self.start_next(now);
+        }
+    }
+
+    fn on_body(&mut self, now: Micros, len: usize, is_end: bool) {
+        self.parsed_end += len;
+        match (self.queue.back_mut(), &mut self.current) {
+            (Some(queued), _) => {
+                queued.len += len;
+                queued.is_whole = is_end;
+            }
+            (None, Some(current)) => {
+                self.visible_end += len;
+                current.is_whole = is_end;
+                self.body_since = now;
+            }
+            (None, None) => debug_assert!(false, "a body belongs to a request"),
+        }
+    }
+
     /// What comes next can't be taken.
-    fn stop(&mut self, wrong: Wrong) {
+    fn on_error(&mut self, error: FramingError) {
         self.head_since = None;
-        if !self.requests.in_body() {
-            self.wrong = Some(wrong);
-        } else if self.behind.pop_back().is_some() {
-            self.wrong = Some(wrong); // nobody has seen anything of it
+        // Of a request in the queue nobody has seen anything.
+        if !self.parser.is_in_body() || self.queue.pop_back().is_some() {
+            self.error = Some(error);
         } else {
-            self.fault = Some(wrong);
+            self.body_error = Some(error);
         }
     }
 
-    fn open_next(&mut self, now: Micros) {
-        if let Some(next) = self.behind.pop_front() {
-            self.open += next.len;
+    fn start_next(&mut self, now: Micros) {
+        if let Some(next) = self.queue.pop_front() {
+            self.visible_end += next.len;
             self.body_since = now;
-            self.work = Some(Work {
+            self.current = Some(CurrentRequest {
                 number: next.number,
-                taken: next.taken,
-                whole: next.whole,
-                answered: false,
+                received_at: next.received_at,
+                is_whole: next.is_whole,
+                is_answered: false,
             });
         }
     }
 
-    /// What the server may take now.
-    pub fn shown(&self) -> &[u8] {
-        &self.held[self.start..self.open]
+    /// Returns what the server may see now.
+    pub fn visible(&self) -> &[u8] {
+        &self.held[self.start..self.visible_end]
     }
 
-    /// The server has taken so much of it.
-    pub fn took(&mut self, now: Micros, bytes: usize) {
+    /// Takes note that the server has read so much of it.
+    pub fn consume(&mut self, now: Micros, bytes: usize) {
         self.start += bytes;
         self.body_since = now;
         if self.start == self.held.len() {
-            (self.start, self.open, self.read) = (0, 0, 0);
-            if self.held.capacity() > KEPT {
+            (self.start, self.visible_end, self.parsed_end) = (0, 0, 0);
+            if self.held.capacity() > MAX_EMPTY_BUFFER {
                 self.held = Vec::new();
             }
             self.held.clear();
         }
     }
 
-    /// The body of the request in work can't be read on: what is wrong with it.
-    pub fn fault(&self) -> Option<Wrong> {
-        self.fault
+    /// Returns what is wrong with the body of the current request, if it can't be read on.
+    pub fn body_error(&self) -> Option<FramingError> {
+        self.body_error
     }
 
-    /// Number of the request in work, and when its head was whole.
-    pub fn work(&self) -> Option<(u64, Micros)> {
-        self.work.map(|w| (w.number, w.taken))
+    /// Returns the number of the current request, and when its head was whole.
+    pub fn current(&self) -> Option<(u64, Micros)> {
+        self.current
+            .map(|current| (current.number, current.received_at))
     }
 
-    /// The request in work has its answer.
-    pub fn answered(&mut self) {
-        if let Some(work) = &mut self.work {
-            work.answered = true;
+    /// Takes note that the current request has its answer.
+    pub fn on_answered(&mut self) {
+        if let Some(current) = &mut self.current {
+            current.is_answered = true;
         }
     }
 
     /// Goes on to the next request once the answer is written; to be called whenever it may be.
-    pub fn settle(&mut self, now: Micros, bounds: &Bounds) {
-        let Some(work) = self.work.filter(|w| w.answered) else {
+    pub fn advance(&mut self, now: Micros, limits: &RequestLimits) {
+        let Some(current) = self.current.filter(|current| current.is_answered) else {
             return;
         };
-        self.work = None;
-        (self.free_since, self.rest) = (now, bounds.rest);
+        self.current = None;
+        (self.idle_since, self.keep_alive) = (now, limits.keep_alive_timeout);
         // What is left of an answered request's body stands in the way of the next.
-        let rest = !work.whole || self.start < self.open;
-        if rest || self.fault.is_some() || (self.last && work.number == self.newest) {
-            self.over = true;
+        let has_rest = !current.is_whole || self.start < self.visible_end;
+        let was_last = self.is_last && current.number == self.newest;
+        if has_rest || self.body_error.is_some() || was_last {
+            self.is_finished = true;
             return;
         }
-        self.open_next(now);
-        self.read_on(now, bounds);
+        self.start_next(now);
+        self.parse_ahead(now, limits);
     }
 
-    /// The request is known to be safe; with those before it.
-    pub fn safe(&mut self, number: u64) {
-        self.safe = self.safe.max(number);
+    /// Takes note that a request is known to be idempotent, and those before it.
+    pub fn mark_idempotent(&mut self, number: u64) {
+        self.idempotent_up_to = self.idempotent_up_to.max(number);
     }
 
-    /// The next request that may be started early: whole, without a body, behind safe ones only. Each is offered once.
-    pub fn early(&mut self) -> Option<Early<'_>> {
-        let mut begin = self.open;
-        for behind in &mut self.behind {
-            if !behind.offered {
-                if !behind.bodiless || behind.number != self.safe + 1 {
-                    return None;
-                }
-                behind.offered = true;
-                return Some(Early {
-                    number: behind.number,
-                    taken: behind.taken,
-                    head: &self.held[begin..begin + behind.head],
-                });
+    /// Returns the next request that may be started early: whole, without a body, behind idempotent ones only. Each is offered
+    /// once.
+    pub fn next_early(&mut self) -> Option<EarlyRequest<'_>> {
+        let mut begin = self.visible_end;
+        for queued in &mut self.queue {
+            if queued.was_offered {
+                begin += queued.len;
+                continue;
+            }
+            if queued.has_body || queued.number != self.idempotent_up_to + 1 {
+                return None;
             }
-            begin += behind.len;
+            queued.was_offered = true;
+            return Some(EarlyRequest {
+                number: queued.number,
+                received_at: queued.received_at,
+                head: &self.held[begin..begin + queued.head_len],
+            });
         }
         None
     }
 
-    /// Its process leaves: without a request it ends by then.
-    pub fn leave(&mut self, by: Micros) {
-        self.leaves = self.leaves.min(by);
+    /// Its process shuts down: without a request it ends by then.
+    pub fn shut_down_by(&mut self, by: Micros) {
+        self.shutdown_at = self.shutdown_at.min(by);
     }
 
-    pub fn stand(&self) -> Stand {
-        match (self.work, self.wrong) {
-            (Some(_), _) => Stand::Open,
-            _ if self.over => Stand::Over,
-            (None, Some(wrong)) => Stand::Answer(wrong),
-            _ if self.idle => Stand::Idle,
-            _ => Stand::Open,
+    /// Returns the status of the connection.
+    pub fn status(&self) -> ConnectionStatus {
+        match (self.current, self.error) {
+            (Some(_), _) => ConnectionStatus::Open,
+            _ if self.is_finished => ConnectionStatus::Finished,
+            (None, Some(error)) => ConnectionStatus::Rejected(error),
+            _ if self.is_idle => ConnectionStatus::IdleTimeout,
+            _ => ConnectionStatus::Open,
         }
     }
 
-    /// When time runs out for what is waited for.
-    pub fn wake(&self, bounds: &Bounds) -> Micros {
-        if self.deaf() {
+    /// Returns when time runs out for what is waited for.
+    pub fn next_timeout(&self, limits: &RequestLimits) -> Micros {
+        if self.is_discarding() {
             return Micros::MAX;
         }
-        let head = self
-            .head_since
-            .map_or(Micros::MAX, |since| since.saturating_add(bounds.head));
-        let body = match self.work {
-            Some(work) if !work.whole && !work.answered && self.start == self.open => {
-                self.body_since.saturating_add(bounds.idle)
-            }
-            None if self.head_since.is_none() => {
-                let rest = self.rest.max(bounds.rest);
-                self.free_since
-                    .saturating_add(rest)
-                    .min(self.leaves.max(self.free_since))
+        let head = self.head_since.map_or(Micros::MAX, |since| {
+            since.saturating_add(limits.head_timeout)
+        });
+        let body = match self.current {
+            Some(current)
+                if !current.is_whole && !current.is_answered && self.visible().is_empty() =>
+            {
+                self.body_since.saturating_add(limits.body_idle_timeout)
             }
+            None if self.head_since.is_none() => self.idle_timeout(limits),
             _ => Micros::MAX,
         };
         head.min(body)
     }
 
-    /// Time passes. What has come is fed before: nobody is blamed for what was not read.
-    pub fn tick(&mut self, now: Micros, bounds: &Bounds) {
-        self.rest = self.rest.max(bounds.rest);
-        if now < self.wake(bounds) {
+    fn idle_timeout(&self, limits: &RequestLimits) -> Micros {
+        let keep_alive = self.keep_alive.max(limits.keep_alive_timeout);
+        let shutdown_at = self.shutdown_at.max(self.idle_since);
+        self.idle_since.saturating_add(keep_alive).min(shutdown_at)
+    }
+
+    /// Lets time pass. What has come is fed before: nobody is blamed for what was not read.
+    pub fn on_tick(&mut self, now: Micros, limits: &RequestLimits) {
+        self.keep_alive = self.keep_alive.max(limits.keep_alive_timeout);
+        if now < self.next_timeout(limits) {
             return;
         }
-        if self
-            .head_since
-            .is_some_and(|since| since.saturating_add(bounds.head) <= now)
-        {
-            self.wrong = Some(Wrong::SlowHead);
-        } else if self.work.is_some() {
-            self.fault = Some(Wrong::SlowBody);
+        let is_head_late = |since: Micros| since.saturating_add(limits.head_timeout) <= now;
+        if self.head_since.is_some_and(is_head_late) {
+            self.error = Some(FramingError::HeadTimeout);
+        } else if self.current.is_some() {
+            self.body_error = Some(FramingError::BodyTimeout);
         } else {
-            self.idle = true;
+            self.is_idle = true;
         }
     }
 }
--- a/crates/http1/src/framing/response_framing.rs
+++ b/crates/http1/src/framing/response_framing.rs
@@ -1,242 +1,246 @@
-//! A connection to an appliance: which of the bytes that come are the answer that is due.
+//! A connection to an endpoint: which of the bytes that come are the response that is due.
 //!
-//! An appliance in trouble sends a second whole answer behind the first, or late, in the place of the next one, or
-//! bytes that are no answer. Each answer carries its request's `Try-Id` back: what has another one is read to its end
-//! and dropped. What comes while nothing is asked ends the connection.
-
-use super::body::Body;
-use super::head::{AnswerHead, Ends};
-use super::lines::Wrong;
-
-/// A head is no longer than this.
-const LONGEST_HEAD: usize = 64 << 10;
-/// Answers to other requests that are dropped before the one that is due, and their bytes.
-const MOST_DROPPED: usize = 4;
-const DROPPED_BYTES: usize = 256 << 10;
+//! An endpoint in trouble sends a second whole response behind the first, or late, in the place of the next one, or bytes
+//! that are no response. Each response carries its request's `Try-Id` back: what has another one is read to its end and
+//! dropped. What comes while no request is outstanding ends the connection.
+
+use super::body::BodyParser;
+use super::head::{ResponseEnd, ResponseHead, ResponseHeadParser};
+use super::lines::FramingError;
+
+/// The longest head, in bytes.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+/// Responses to other requests that are dropped before the one that is due, and their bytes.
+const MAX_STALE_RESPONSES: usize = 4;
+const MAX_STALE_BYTES: usize = 256 << 10;
 /// An empty buffer larger than this is not kept.
-const KEPT: usize = 2 << 10;
+const MAX_EMPTY_BUFFER: usize = 2 << 10;
 
 /// Why a connection is of no more use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// Bytes came while nothing was asked.
-    Unasked,
-    /// What came is no answer, or one whose end can't be told.
-    Unreadable(Wrong),
-    /// An answer without the id that is due.
-    Nameless,
-    /// An answer to another request whose end can't be told, as a HEAD was sent here.
-    Foreign,
-    /// Too many answers to other requests, or too long ones.
-    Flood,
+pub enum ResponseFault {
+    /// Bytes came while no request was outstanding.
+    Unsolicited,
+    /// What came is no response, or one whose end can't be told.
+    Unreadable(FramingError),
+    /// A response without an id.
+    MissingId,
+    /// A response to another request whose end can't be told, as a HEAD was sent here.
+    WrongId,
+    /// Too many responses to other requests, or too long ones.
+    TooManyStale,
     /// The request that was announced is not to be written any more.
-    CalledOff,
+    Cancelled,
 }
 
 #[derive(Clone, Debug)]
 enum State {
-    /// Nothing is asked.
-    Quiet,
+    /// No request is outstanding.
+    Idle,
     /// A request was announced; nothing of it was written yet.
     Announced,
-    Head(AnswerHead),
-    /// The body of an answer; whether it is the one that is due.
-    Body(Body, bool),
+    Head(ResponseHeadParser),
+    /// The body of a response.
+    Body {
+        parser: BodyParser,
+        is_due: bool,
+    },
+}
+
+impl State {
+    /// Returns what comes behind the head of a response.
+    fn behind_head(end: ResponseEnd, is_due: bool) -> State {
+        match end {
+            ResponseEnd::WithBody(parser) => State::Body { parser, is_due },
+            ResponseEnd::WithHead => State::behind_response(is_due),
+        }
+    }
+
+    /// Returns what comes behind a response: nothing, or the one that is due.
+    fn behind_response(was_due: bool) -> State {
+        match was_due {
+            true => State::Idle,
+            false => State::Head(ResponseHeadParser::default()),
+        }
+    }
 }
 
 /// One connection.
 #[derive(Clone, Debug)]
-pub struct Echo {
+pub struct ResponseFraming {
     state: State,
-    /// What has come and was not taken yet, from `start`: the reader may take it up to `open`.
+    /// What has come and was not consumed yet, from `start`: the reader may see it up to `visible_end`.
     held: Vec<u8>,
     start: usize,
-    open: usize,
+    visible_end: usize,
     /// The id that is due; empty: the request has none.
-    id: Vec<u8>,
+    due_id: Vec<u8>,
     /// A request without an id was sent here: what comes late can't be told from what is due.
-    nameless: bool,
+    had_request_without_id: bool,
     /// The request is a HEAD; one was sent here before.
-    bodiless: bool,
-    mixed: bool,
-    dropped: usize,
-    dropped_bytes: usize,
-    fault: Option<Fault>,
+    is_head_request: bool,
+    had_head_request: bool,
+    stale_responses: usize,
+    stale_bytes: usize,
+    fault: Option<ResponseFault>,
 }
 
-impl Default for Echo {
-    fn default() -> Echo {
-        Echo {
-            state: State::Quiet,
+impl Default for ResponseFraming {
+    fn default() -> ResponseFraming {
+        ResponseFraming {
+            state: State::Idle,
             held: Vec::new(),
             start: 0,
-            open: 0,
-            id: Vec::new(),
-            nameless: false,
-            bodiless: false,
-            mixed: false,
-            dropped: 0,
-            dropped_bytes: 0,
+            visible_end: 0,
+            due_id: Vec::new(),
+            had_request_without_id: false,
+            is_head_request: false,
+            had_head_request: false,
+            stale_responses: 0,
+            stale_bytes: 0,
             fault: None,
         }
     }
 }
 
-impl Echo {
-    /// A request is about to be written. False: the connection is of no more use, and it must not be.
-    pub fn ask(&mut self, id: &[u8], bodiless: bool) -> bool {
-        if self.fault.is_some() || !matches!(self.state, State::Quiet | State::Announced) {
+impl ResponseFraming {
+    /// Announces a request that is about to be written. Returns false if it must not be: the connection is of no more use.
+    pub fn announce(&mut self, id: &[u8], is_head_request: bool) -> bool {
+        if self.fault.is_some() || !matches!(self.state, State::Idle | State::Announced) {
             return false;
         }
         self.state = State::Announced;
-        self.id.clear();
-        self.id.extend_from_slice(id);
-        (self.bodiless, self.dropped, self.dropped_bytes) = (bodiless, 0, 0);
-        self.mixed |= bodiless;
-        self.nameless |= id.is_empty();
+        self.due_id.clear();
+        self.due_id.extend_from_slice(id);
+        self.is_head_request = is_head_request;
+        self.had_head_request |= is_head_request;
+        self.had_request_without_id |= id.is_empty();
+        (self.stale_responses, self.stale_bytes) = (0, 0);
         true
     }
 
-    /// The request that was announced is given up. True: no byte of it was written, and none will be, as nothing may be
-    /// written here any more. False: it may have arrived.
-    pub fn call_off(&mut self) -> bool {
-        let unwritten = matches!(self.state, State::Announced);
-        if unwritten {
-            self.fault.get_or_insert(Fault::CalledOff);
+    /// Cancels the request that was announced. Returns true if no byte of it was written, and none will be, as nothing may be
+    /// written here any more; false if it may have arrived.
+    pub fn cancel(&mut self) -> bool {
+        let is_unwritten = matches!(self.state, State::Announced);
+        if is_unwritten {
+            self.fault.get_or_insert(ResponseFault::Cancelled);
         }
-        unwritten
+        is_unwritten
     }
 
-    /// Bytes of the request are written.
-    pub fn written(&mut self) {
+    /// Takes note that bytes of the request are written.
+    pub fn on_written(&mut self) {
         if matches!(self.state, State::Announced) {
-            self.state = State::Head(AnswerHead::default());
+            self.state = State::Head(ResponseHeadParser::default());
         }
     }
 
-    /// Bytes that have come. Where `shown` is empty and there is no fault, more are needed.
+    /// Takes bytes that have come. Where nothing is visible and there is no fault, more are needed.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.fault.is_some() {
             return;
         }
-        if self.start > 0 && self.start == self.open {
+        if self.start > 0 && self.start == self.visible_end {
             self.held.drain(..self.start);
-            (self.start, self.open) = (0, 0);
+            (self.start, self.visible_end) = (0, 0);
         }
         self.held.extend_from_slice(bytes);
-        if let Err(fault) = self.read_on() {
+        if let Err(fault) = self.parse() {
             self.fault = Some(fault);
-            self.held.truncate(self.open);
+            self.held.truncate(self.visible_end);
         }
     }
 
-    fn read_on(&mut self) -> Result<(), Fault> {
-        while self.open < self.held.len() {
-            let next = match &mut self.state {
-                State::Quiet | State::Announced => return Err(Fault::Unasked),
-                State::Head(head) => {
-                    let told = head
-                        .read(&self.held[self.open..], LONGEST_HEAD, self.bodiless)
-                        .map_err(Fault::Unreadable)?;
-                    let Some(told) = told else { return Ok(()) };
-                    let id = told
-                        .id
-                        .map(|(from, to)| &self.held[self.open + from..self.open + to]);
-                    let due = id.unwrap_or_default() == self.id;
-                    let nameless = id.is_none();
-                    if told.interim() {
-                        self.drop(told.len);
-                        State::Head(AnswerHead::default())
-                    } else if due {
-                        self.open += told.len;
-                        body_of(told.ends, true)
-                    } else if nameless || self.mixed {
-                        return Err(if nameless {
-                            Fault::Nameless
-                        } else {
-                            Fault::Foreign
-                        });
-                    } else {
-                        self.dropped += 1;
-                        self.drop(told.len);
-                        body_of(told.ends, false)
-                    }
+    fn parse(&mut self) -> Result<(), ResponseFault> {
+        while self.visible_end < self.held.len() {
+            let unread = &self.held[self.visible_end..];
+            match &mut self.state {
+                State::Idle | State::Announced => return Err(ResponseFault::Unsolicited),
+                State::Head(parser) => {
+                    let head = parser
+                        .parse(unread, MAX_HEAD_BYTES, self.is_head_request)
+                        .map_err(ResponseFault::Unreadable)?;
+                    let Some(head) = head else { return Ok(()) };
+                    self.state = self.on_head(head)?;
                 }
-                State::Body(body, due) => {
-                    let due = *due;
-                    let (passed, whole) = body
-                        .read(&self.held[self.open..])
-                        .map_err(Fault::Unreadable)?;
-                    if due {
-                        self.open += passed;
+                State::Body { parser, is_due } => {
+                    let is_due = *is_due;
+                    let (len, is_end) = parser.parse(unread).map_err(ResponseFault::Unreadable)?;
+                    if is_due {
+                        self.visible_end += len;
                     } else {
-                        self.drop(passed);
+                        self.drop_stale(len);
                     }
-                    if !whole {
-                        self.flooded()?;
-                        continue;
+                    if is_end {
+                        self.state = State::behind_response(is_due);
                     }
-                    after(due)
                 }
-            };
-            self.state = next;
-            self.flooded()?;
+            }
+            self.check_stale()?;
         }
         Ok(())
     }
 
-    fn flooded(&self) -> Result<(), Fault> {
-        match self.dropped > MOST_DROPPED || self.dropped_bytes > DROPPED_BYTES {
-            true => Err(Fault::Flood),
+    /// Passes a head on or drops it, by whose response it begins.
+    fn on_head(&mut self, head: ResponseHead) -> Result<State, ResponseFault> {
+        if head.is_interim() {
+            self.drop_stale(head.len);
+            return Ok(State::Head(ResponseHeadParser::default()));
+        }
+        let unread = &self.held[self.visible_end..];
+        let id = head.id.clone().map(|range| &unread[range]);
+        if id.unwrap_or_default() == self.due_id {
+            self.visible_end += head.len;
+            return Ok(State::behind_head(head.end, true));
+        }
+        if id.is_none() {
+            return Err(ResponseFault::MissingId);
+        }
+        if self.had_head_request {
+            return Err(ResponseFault::WrongId);
+        }
+        self.stale_responses += 1;
+        self.drop_stale(head.len);
+        Ok(State::behind_head(head.end, false))
+    }
+
+    fn check_stale(&self) -> Result<(), ResponseFault> {
+        match self.stale_responses > MAX_STALE_RESPONSES || self.stale_bytes > MAX_STALE_BYTES {
+            true => Err(ResponseFault::TooManyStale),
             false => Ok(()),
         }
     }
 
-    fn drop(&mut self, bytes: usize) {
-        self.dropped_bytes += bytes;
-        self.held.drain(self.open..self.open + bytes);
+    fn drop_stale(&mut self, bytes: usize) {
+        self.stale_bytes += bytes;
+        self.held.drain(self.visible_end..self.visible_end + bytes);
     }
 
-    /// What the reader may take now.
-    pub fn shown(&self) -> &[u8] {
-        &self.held[self.start..self.open]
+    /// Returns what the reader may see now.
+    pub fn visible(&self) -> &[u8] {
+        &self.held[self.start..self.visible_end]
     }
 
-    /// The reader has taken so much of it.
-    pub fn took(&mut self, bytes: usize) {
+    /// Takes note that the reader has taken so much of it.
+    pub fn consume(&mut self, bytes: usize) {
         self.start += bytes;
         if self.start == self.held.len() {
-            (self.start, self.open) = (0, 0);
+            (self.start, self.visible_end) = (0, 0);
             self.held.clear();
-            if self.held.capacity() > KEPT {
+            if self.held.capacity() > MAX_EMPTY_BUFFER {
                 self.held = Vec::new();
             }
         }
     }
 
-    /// Why nothing more can be had from it; what is shown before is good.
-    pub fn fault(&self) -> Option<Fault> {
+    /// Returns why nothing more can be had from it; what is visible before is good.
+    pub fn fault(&self) -> Option<ResponseFault> {
         self.fault
     }
 
     /// Whether another request may be sent on it.
-    pub fn usable(&self) -> bool {
-        self.fault.is_none() && matches!(self.state, State::Quiet) && !self.nameless
-    }
-}
-
-/// What comes behind the head of an answer.
-fn body_of(ends: Ends, due: bool) -> State {
-    match ends {
-        Ends::With(body) => State::Body(body, due),
-        Ends::AtOnce => after(due),
-    }
-}
-
-/// What comes behind an answer: nothing, or the one that is due.
-fn after(due: bool) -> State {
-    match due {
-        true => State::Quiet,
-        false => State::Head(AnswerHead::default()),
+    pub fn is_reusable(&self) -> bool {
+        self.fault.is_none() && matches!(self.state, State::Idle) && !self.had_request_without_id
     }
 }
--- a/crates/http1/src/framing/tests.rs
+++ b/crates/http1/src/framing/tests.rs
@@ -1,18 +1,20 @@
 //! Streams cut at any place, streams that two readers would read differently, and streams that are odd but proper.
 
-use super::request_framing::{Bounds, Doorway, Requests, Stand, Step};
-use super::response_framing::{Echo, Fault};
-use super::Wrong;
+use super::request_framing::{
+    ConnectionStatus, ParseStep, RequestFraming, RequestLimits, RequestParser,
+};
+use super::response_framing::{ResponseFault, ResponseFraming};
+use super::FramingError;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng as Dice;
 use rstest::rstest;
 
-const BOUNDS: Bounds = Bounds {
+const LIMITS: RequestLimits = RequestLimits {
     head_bytes: 1000,
-    head: 3_000,
-    idle: 15_000,
-    rest: 15_000,
+    head_timeout: 3_000,
+    body_idle_timeout: 15_000,
+    keep_alive_timeout: 15_000,
 };
 
 /// How a stream is cut into the pieces that come.
@@ -46,14 +48,14 @@
 
 /// What a server sees of a stream: the bytes of each request, and how the connection stands at the end. Answers are
 /// given as soon as a request is whole.
-fn seen(stream: &[u8], cut: Cut) -> (Vec<Vec<u8>>, Stand, Option<Wrong>) {
-    let (mut door, mut requests) = (Doorway::new(0), Vec::<(u64, Vec<u8>)>::new());
+fn seen(stream: &[u8], cut: Cut) -> (Vec<Vec<u8>>, ConnectionStatus, Option<FramingError>) {
+    let (mut door, mut requests) = (RequestFraming::new(0), Vec::<(u64, Vec<u8>)>::new());
     for piece in pieces(stream, cut) {
-        assert!(door.room(&BOUNDS) >= piece.len());
-        door.feed(0, &BOUNDS, piece);
-        while let Some((number, _)) = door.work() {
-            let shown = door.shown().to_vec();
-            door.took(0, shown.len());
+        assert!(door.capacity(&LIMITS) >= piece.len());
+        door.feed(0, &LIMITS, piece);
+        while let Some((number, _)) = door.current() {
+            let shown = door.visible().to_vec();
+            door.consume(0, shown.len());
             match requests.last_mut().filter(|(n, _)| *n == number) {
                 Some((_, bytes)) => bytes.extend(shown),
                 None => requests.push((number, shown)),
@@ -62,14 +64,14 @@
             if !matches!(reference(&requests[requests.len() - 1].1), (1, End::Sound)) {
                 break;
             }
-            door.answered();
-            door.settle(0, &BOUNDS);
+            door.on_answered();
+            door.advance(0, &LIMITS);
         }
     }
     (
         requests.into_iter().map(|(_, bytes)| bytes).collect(),
-        door.stand(),
-        door.fault(),
+        door.status(),
+        door.body_error(),
     )
 }
 
@@ -155,97 +157,112 @@
 /// Guards against smuggling: of a request that another reader could end elsewhere, or read as another one, nothing
 /// is seen by the server, nor of what is hidden behind it; what came before it is served.
 #[rstest]
-#[case("GET /a HTTP/1.1\nHost: a\n\n", Wrong::BareFeed)]
-#[case("GET /a HTTP/1.1\r\nHost: a\nX: b\r\n\r\n", Wrong::BareFeed)]
-#[case("GET /a HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", Wrong::Field)]
-#[case("GET /a HTTP/1.1\r\n Host: a\r\n\r\n", Wrong::Field)]
+#[case("GET /a HTTP/1.1\nHost: a\n\n", FramingError::BareLineFeed)]
+#[case("GET /a HTTP/1.1\r\nHost: a\nX: b\r\n\r\n", FramingError::BareLineFeed)]
+#[case(
+    "GET /a HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n",
+    FramingError::HeaderLine
+)]
+#[case("GET /a HTTP/1.1\r\n Host: a\r\n\r\n", FramingError::HeaderLine)]
 #[case(
     "GET /a HTTP/1.1\r\nHost: a\r\nContent-Length : 5\r\n\r\nabcde",
-    Wrong::Field
+    FramingError::HeaderLine
+)]
+#[case(
+    "GET /a HTTP/1.1\r\nHost: a\r\nContent-Length\r\n\r\n",
+    FramingError::HeaderLine
+)]
+#[case("GET /a HTTP/1.1\r\nHost: a\r\n: b\r\n\r\n", FramingError::HeaderLine)]
+#[case(
+    "GET /a HTTP/1.1\r\nHost: a\r\nX\u{1}: b\r\n\r\n",
+    FramingError::HeaderLine
+)]
+#[case(
+    "GET /a HTTP/1.1\r\nHost: a\r\nX: b\0\r\n\r\n",
+    FramingError::ControlCharacter
 )]
-#[case("GET /a HTTP/1.1\r\nHost: a\r\nContent-Length\r\n\r\n", Wrong::Field)]
-#[case("GET /a HTTP/1.1\r\nHost: a\r\n: b\r\n\r\n", Wrong::Field)]
-#[case("GET /a HTTP/1.1\r\nHost: a\r\nX\u{1}: b\r\n\r\n", Wrong::Field)]
-#[case("GET /a HTTP/1.1\r\nHost: a\r\nX: b\0\r\n\r\n", Wrong::Control)]
 #[case(
     "GET /a HTTP/1.1\r\nHost: a\r\nX: b\rContent-Length: 9\r\n\r\n",
-    Wrong::Control
+    FramingError::ControlCharacter
 )]
-#[case("GET /a HTTP/1.1\r\n\r\n", Wrong::Host)]
-#[case("GET /a HTTP/1.1\r\nHost: a\r\nhost: a\r\n\r\n", Wrong::Host)]
+#[case("GET /a HTTP/1.1\r\n\r\n", FramingError::Host)]
+#[case("GET /a HTTP/1.1\r\nHost: a\r\nhost: a\r\n\r\n", FramingError::Host)]
 #[case(
     "GET /a HTTP/1.1\r\nHost: a\r\nTry-Id: x\r\ntry-id: x\r\n\r\n",
-    Wrong::Field
+    FramingError::HeaderLine
 )]
-#[case("GET /a HTTP/1.1\r\nHost: a b\r\n\r\n", Wrong::Host)]
-#[case("GET /a HTTP/1.1\r\nHost: a/b\r\n\r\n", Wrong::Host)]
-#[case("GET http://b/a HTTP/1.1\r\nHost: a\r\n\r\n", Wrong::Host)]
+#[case("GET /a HTTP/1.1\r\nHost: a b\r\n\r\n", FramingError::Host)]
+#[case("GET /a HTTP/1.1\r\nHost: a/b\r\n\r\n", FramingError::Host)]
+#[case("GET http://b/a HTTP/1.1\r\nHost: a\r\n\r\n", FramingError::Host)]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-    Wrong::Length
+    FramingError::ContentLength
 )]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nabcdef",
-    Wrong::Length
+    FramingError::ContentLength
 )]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nabcde",
-    Wrong::Length
+    FramingError::ContentLength
 )]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5, 5\r\n\r\nabcde",
-    Wrong::Length
+    FramingError::ContentLength
 )]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: +5\r\n\r\nabcde",
-    Wrong::Length
+    FramingError::ContentLength
 )]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 0x5\r\n\r\nabcde",
-    Wrong::Length
+    FramingError::ContentLength
 )]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5 5\r\n\r\nabcde",
-    Wrong::Length
+    FramingError::ContentLength
 )]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length:\r\n\r\n",
-    Wrong::Length
+    FramingError::ContentLength
 )]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 18446744073709551617\r\n\r\nx",
-    Wrong::Length
+    FramingError::ContentLength
 )]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-    Wrong::Coding
+    FramingError::TransferCoding
 )]
 #[case(
     "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
-    Wrong::Coding
+    FramingError::TransferCoding
 )]
-#[case("POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n", Wrong::Coding)]
+#[case("POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n", FramingError::TransferCoding)]
 #[case(
     "POST /a HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-    Wrong::Coding
+    FramingError::TransferCoding
 )]
-#[case("GET  /a HTTP/1.1\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
-#[case("GET /a b HTTP/1.1\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
-#[case("GET /a#b HTTP/1.1\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
-#[case("GET /a HTTP/1.1 \r\nHost: a\r\n\r\n", Wrong::FirstLine)]
-#[case("GET /a HTTP/2.0\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
-#[case("GET /a http/1.1\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
-#[case("GET /a\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
-#[case("G(T /a HTTP/1.1\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
-#[case("\u{16}\u{3}\u{1}", Wrong::FirstLine)]
-#[case("\nGET /a HTTP/1.1\r\nHost: a\r\n\r\n", Wrong::FirstLine)]
-fn of_what_could_be_read_in_two_ways_nothing_is_seen(#[case] text: &str, #[case] wrong: Wrong) {
+#[case("GET  /a HTTP/1.1\r\nHost: a\r\n\r\n", FramingError::StartLine)]
+#[case("GET /a b HTTP/1.1\r\nHost: a\r\n\r\n", FramingError::StartLine)]
+#[case("GET /a#b HTTP/1.1\r\nHost: a\r\n\r\n", FramingError::StartLine)]
+#[case("GET /a HTTP/1.1 \r\nHost: a\r\n\r\n", FramingError::StartLine)]
+#[case("GET /a HTTP/2.0\r\nHost: a\r\n\r\n", FramingError::StartLine)]
+#[case("GET /a http/1.1\r\nHost: a\r\n\r\n", FramingError::StartLine)]
+#[case("GET /a\r\nHost: a\r\n\r\n", FramingError::StartLine)]
+#[case("G(T /a HTTP/1.1\r\nHost: a\r\n\r\n", FramingError::StartLine)]
+#[case("\u{16}\u{3}\u{1}", FramingError::StartLine)]
+#[case("\nGET /a HTTP/1.1\r\nHost: a\r\n\r\n", FramingError::StartLine)]
+fn of_what_could_be_read_in_two_ways_nothing_is_seen(
+    #[case] text: &str,
+    #[case] wrong: FramingError,
+) {
     let before = "GET /b HTTP/1.1\r\nHost: a\r\n\r\n";
     let stream = format!("{before}{text}GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n");
     for cut in cuts() {
         let (requests, stand, _) = seen(stream.as_bytes(), cut);
         assert_eq!(requests, [before.as_bytes()], "{cut:?}");
-        assert_eq!(stand, Stand::Answer(wrong), "{cut:?}");
+        assert_eq!(stand, ConnectionStatus::Rejected(wrong), "{cut:?}");
         assert_eq!(wrong.status(), 400);
     }
 }
@@ -277,7 +294,11 @@
             "{cut:?}"
         );
         assert!(!requests[0].windows(7).any(|w| w == b"/hidden"), "{cut:?}");
-        assert_eq!((stand, fault), (Stand::Open, Some(Wrong::Chunk)), "{cut:?}");
+        assert_eq!(
+            (stand, fault),
+            (ConnectionStatus::Open, Some(FramingError::Chunk)),
+            "{cut:?}"
+        );
     }
 }
 
@@ -307,7 +328,7 @@
         let (requests, stand, fault) = seen(&stream, cut);
         let plain = text.trim_start_matches("\r\n").as_bytes();
         assert_eq!(requests, [plain, behind.as_bytes()], "{cut:?}");
-        assert_eq!((stand, fault), (Stand::Open, None), "{cut:?}");
+        assert_eq!((stand, fault), (ConnectionStatus::Open, None), "{cut:?}");
     }
 }
 
@@ -319,13 +340,16 @@
         plain.replace("X: ", &format!("X: {}", "y".repeat(bytes - plain.len())))
     };
     for cut in cuts() {
-        assert_eq!(seen(head(1000).as_bytes(), cut).1, Stand::Open);
+        assert_eq!(seen(head(1000).as_bytes(), cut).1, ConnectionStatus::Open);
         assert_eq!(
             seen(head(1001).as_bytes(), cut).1,
-            Stand::Answer(Wrong::TooLong)
+            ConnectionStatus::Rejected(FramingError::TooLarge)
         );
         let many = format!("GET /a HTTP/1.1\r\nHost: a\r\n{}", "X:\r\n".repeat(100));
-        assert_eq!(seen(many.as_bytes(), cut).1, Stand::Answer(Wrong::TooLong));
+        assert_eq!(
+            seen(many.as_bytes(), cut).1,
+            ConnectionStatus::Rejected(FramingError::TooLarge)
+        );
     }
 }
 
@@ -339,7 +363,7 @@
         let (requests, stand, _) = seen(stream.as_bytes(), cut);
         assert_eq!(
             (requests, stand),
-            (vec![text.as_bytes().to_vec()], Stand::Over),
+            (vec![text.as_bytes().to_vec()], ConnectionStatus::Finished),
             "{cut:?}"
         );
     }
@@ -402,7 +426,7 @@
         for cut in [Cut::Whole, Cut::Bytes, Cut::Dice(seed)] {
             assert_eq!(
                 seen(&stream, cut),
-                (requests.clone(), Stand::Open, None),
+                (requests.clone(), ConnectionStatus::Open, None),
                 "seed {seed}, {cut:?}"
             );
         }
@@ -431,18 +455,18 @@
             }
         }
         // Where the machine finds the ends of requests.
-        let (mut requests, mut at, mut ends) = (Requests::default(), 0, Vec::new());
+        let (mut requests, mut at, mut ends) = (RequestParser::default(), 0, Vec::new());
         loop {
-            match requests.next(&stream[at..], BOUNDS.head_bytes) {
-                Step::More | Step::Wrong(_) => break,
-                Step::Blank(passed) => at += passed,
-                Step::Head(asked) => {
-                    at += asked.len;
-                    ends.extend(asked.body.is_none().then_some(at));
+            match requests.next(&stream[at..], LIMITS.head_bytes) {
+                ParseStep::NeedMore | ParseStep::Invalid(_) => break,
+                ParseStep::BlankLines(len) => at += len,
+                ParseStep::Head(head) => {
+                    at += head.len;
+                    ends.extend(head.body.is_none().then_some(at));
                 }
-                Step::Body { passed, whole } => {
-                    at += passed;
-                    ends.extend(whole.then_some(at));
+                ParseStep::Body { len, is_end } => {
+                    at += len;
+                    ends.extend(is_end.then_some(at));
                 }
             }
         }
@@ -456,7 +480,7 @@
         let whole = |cut| {
             let (mut requests, stand, fault) = seen(&stream, cut);
             requests.truncate(requests.len() - usize::from(fault.is_some()));
-            let wrong = if let Stand::Answer(wrong) = stand {
+            let wrong = if let ConnectionStatus::Rejected(wrong) = stand {
                 Some(wrong)
             } else {
                 fault
@@ -471,13 +495,13 @@
     );
 }
 
-fn door(texts: &[&str]) -> Doorway {
-    let mut door = Doorway::new(0);
+fn door(texts: &[&str]) -> RequestFraming {
+    let mut door = RequestFraming::new(0);
     texts
         .iter()
-        .for_each(|text| door.feed(0, &BOUNDS, text.as_bytes()));
-    let shown = door.shown().len();
-    door.took(0, shown);
+        .for_each(|text| door.feed(0, &LIMITS, text.as_bytes()));
+    let shown = door.visible().len();
+    door.consume(0, shown);
     door
 }
 
@@ -486,38 +510,41 @@
 fn time_runs_out_for_what_is_waited_for_only() {
     let plain = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
     let mut idle = door(&["\r\n"]);
-    idle.tick(14_999, &BOUNDS);
-    assert_eq!(idle.stand(), Stand::Open);
-    idle.tick(15_000, &BOUNDS);
-    assert_eq!(idle.stand(), Stand::Idle);
+    idle.on_tick(14_999, &LIMITS);
+    assert_eq!(idle.status(), ConnectionStatus::Open);
+    idle.on_tick(15_000, &LIMITS);
+    assert_eq!(idle.status(), ConnectionStatus::IdleTimeout);
 
     let mut busy = door(&[plain]);
-    assert_eq!(busy.wake(&BOUNDS), u64::MAX);
-    busy.answered();
-    busy.settle(20_000, &BOUNDS);
-    assert_eq!(busy.wake(&BOUNDS), 35_000);
+    assert_eq!(busy.next_timeout(&LIMITS), u64::MAX);
+    busy.on_answered();
+    busy.advance(20_000, &LIMITS);
+    assert_eq!(busy.next_timeout(&LIMITS), 35_000);
 
     let mut slow = door(&[plain, "GE"]);
-    slow.feed(2_000, &BOUNDS, b"T /");
-    slow.tick(3_000, &BOUNDS);
-    assert_eq!(slow.stand(), Stand::Open, "one is in work");
-    slow.answered();
-    slow.settle(4_000, &BOUNDS);
-    assert_eq!(slow.stand(), Stand::Answer(Wrong::SlowHead));
-    assert_eq!(Wrong::SlowHead.status(), 408);
+    slow.feed(2_000, &LIMITS, b"T /");
+    slow.on_tick(3_000, &LIMITS);
+    assert_eq!(slow.status(), ConnectionStatus::Open, "one is in work");
+    slow.on_answered();
+    slow.advance(4_000, &LIMITS);
+    assert_eq!(
+        slow.status(),
+        ConnectionStatus::Rejected(FramingError::HeadTimeout)
+    );
+    assert_eq!(FramingError::HeadTimeout.status(), 408);
 
     let mut body = door(&["PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n"]);
-    body.feed(10_000, &BOUNDS, b"abc");
+    body.feed(10_000, &LIMITS, b"abc");
     assert_eq!(
-        body.wake(&BOUNDS),
+        body.next_timeout(&LIMITS),
         u64::MAX,
         "the server is to take what has come"
     );
-    body.took(11_000, 3);
-    body.tick(25_999, &BOUNDS);
-    assert_eq!(body.fault(), None);
-    body.tick(26_000, &BOUNDS);
-    assert_eq!(body.fault(), Some(Wrong::SlowBody));
+    body.consume(11_000, 3);
+    body.on_tick(25_999, &LIMITS);
+    assert_eq!(body.body_error(), None);
+    body.on_tick(26_000, &LIMITS);
+    assert_eq!(body.body_error(), Some(FramingError::BodyTimeout));
 }
 
 /// Guards against unbounded memory, and against blaming a client for what was not read: behind sixteen requests and
@@ -528,29 +555,29 @@
         "GET /a HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
         "y".repeat(900)
     );
-    let mut door = Doorway::new(0);
+    let mut door = RequestFraming::new(0);
     let (mut sent, mut rest) = (0, Vec::new());
-    while door.room(&BOUNDS) > 0 {
+    while door.capacity(&LIMITS) > 0 {
         if rest.is_empty() {
             rest = plain.clone().into_bytes();
             sent += 1;
         }
-        let some = rest.len().min(door.room(&BOUNDS));
-        door.feed(0, &BOUNDS, &rest.drain(..some).collect::<Vec<u8>>());
+        let some = rest.len().min(door.capacity(&LIMITS));
+        door.feed(0, &LIMITS, &rest.drain(..some).collect::<Vec<u8>>());
     }
     assert!(sent < 80);
-    door.tick(1_000_000, &BOUNDS);
+    door.on_tick(1_000_000, &LIMITS);
     let mut served = 0;
-    while door.work().is_some() {
-        let shown = door.shown().len();
-        door.took(0, shown);
+    while door.current().is_some() {
+        let shown = door.visible().len();
+        door.consume(0, shown);
         served += 1;
-        door.answered();
-        door.settle(1_000_000, &BOUNDS);
+        door.on_answered();
+        door.advance(1_000_000, &LIMITS);
     }
-    assert_eq!((served, door.stand()), (sent - 1, Stand::Open));
+    assert_eq!((served, door.status()), (sent - 1, ConnectionStatus::Open));
     assert_eq!(
-        door.wake(&BOUNDS),
+        door.next_timeout(&LIMITS),
         1_003_000,
         "the head begins to count where it is waited for"
     );
@@ -564,46 +591,46 @@
     let post = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
     let mut door = door(&[&plain.repeat(30)]);
     assert_eq!(
-        door.early(),
+        door.next_early(),
         None,
         "the one in work is not known to be safe"
     );
-    door.safe(1);
+    door.mark_idempotent(1);
     let mut started = Vec::new();
-    while let Some((number, head)) = door.early().map(|e| (e.number, e.head.to_vec())) {
+    while let Some((number, head)) = door.next_early().map(|e| (e.number, e.head.to_vec())) {
         assert_eq!(head, plain.as_bytes());
         started.push(number);
-        door.safe(number);
+        door.mark_idempotent(number);
     }
     assert_eq!(started, (2..=17).collect::<Vec<u64>>());
-    door.answered();
-    door.settle(0, &BOUNDS);
-    assert_eq!(door.work().map(|w| w.0), Some(2));
-    assert_eq!(door.early().map(|e| e.number), Some(18));
+    door.on_answered();
+    door.advance(0, &LIMITS);
+    assert_eq!(door.current().map(|w| w.0), Some(2));
+    assert_eq!(door.next_early().map(|e| e.number), Some(18));
 
     let mut mixed = super::tests::door(&[plain, plain, post, plain]);
-    mixed.safe(1);
-    assert_eq!(mixed.early().map(|e| e.number), Some(2));
-    assert_eq!(mixed.early(), None, "number 2 was not started");
-    mixed.safe(2);
-    assert_eq!(mixed.early(), None, "number 3 has a body");
+    mixed.mark_idempotent(1);
+    assert_eq!(mixed.next_early().map(|e| e.number), Some(2));
+    assert_eq!(mixed.next_early(), None, "number 2 was not started");
+    mixed.mark_idempotent(2);
+    assert_eq!(mixed.next_early(), None, "number 3 has a body");
 }
 
 /// What a reader gets of the bytes that come on a connection to an appliance, for a request with the id `t1`.
-fn heard(stream: &[u8], cut: Cut, head: bool) -> (String, Option<Fault>, bool) {
-    let (mut echo, mut shown) = (Echo::default(), Vec::new());
-    assert!(echo.ask(b"t1", head));
-    echo.written();
+fn heard(stream: &[u8], cut: Cut, head: bool) -> (String, Option<ResponseFault>, bool) {
+    let (mut echo, mut shown) = (ResponseFraming::default(), Vec::new());
+    assert!(echo.announce(b"t1", head));
+    echo.on_written();
     for piece in pieces(stream, cut) {
         echo.feed(piece);
-        let some = echo.shown().to_vec();
-        echo.took(some.len());
+        let some = echo.visible().to_vec();
+        echo.consume(some.len());
         shown.extend(some);
     }
     (
         String::from_utf8(shown).unwrap(),
         echo.fault(),
-        echo.usable(),
+        echo.is_reusable(),
     )
 }
 
@@ -623,24 +650,24 @@
 #[case::late(format!("{LATE}{OK}"), OK, None, true)]
 #[case::late_chunks(format!("{LATE_CHUNKS}{LATE}{OK}"), OK, None, true)]
 #[case::late_only(LATE.into(), "", None, false)]
-#[case::late_many(LATE.repeat(5) + OK, "", Some(Fault::Flood), false)]
-#[case::doubled(format!("{OK}{OK}"), OK, Some(Fault::Unasked), false)]
-#[case::surplus(format!("{CHUNKS}{LATE}"), CHUNKS, Some(Fault::Unasked), false)]
-#[case::surplus_bytes(format!("{OK}\r\n"), OK, Some(Fault::Unasked), false)]
-#[case::garbage("\u{1}\u{2}HTTP/1.1 200 OK\r\n\r\n".into(), "", Some(Fault::Unreadable(Wrong::FirstLine)), false)]
+#[case::late_many(LATE.repeat(5) + OK, "", Some(ResponseFault::TooManyStale), false)]
+#[case::doubled(format!("{OK}{OK}"), OK, Some(ResponseFault::Unsolicited), false)]
+#[case::surplus(format!("{CHUNKS}{LATE}"), CHUNKS, Some(ResponseFault::Unsolicited), false)]
+#[case::surplus_bytes(format!("{OK}\r\n"), OK, Some(ResponseFault::Unsolicited), false)]
+#[case::garbage("\u{1}\u{2}HTTP/1.1 200 OK\r\n\r\n".into(), "", Some(ResponseFault::Unreadable(FramingError::StartLine)), false)]
 #[case::cut(OK[..OK.len() - 1].into(), &OK[..OK.len() - 1], None, false)]
 #[case::cut_head(OK[..30].into(), "", None, false)]
-#[case::nameless("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into(), "", Some(Fault::Nameless), false)]
-#[case::two_names("HTTP/1.1 200 OK\r\nTry-Id: t1\r\nTry-Id: t0\r\n\r\n".into(), "", Some(Fault::Unreadable(Wrong::Field)), false)]
-#[case::endless("HTTP/1.1 200 OK\r\nTry-Id: t1\r\n\r\nabc".into(), "", Some(Fault::Unreadable(Wrong::Endless)), false)]
-#[case::two_lengths("HTTP/1.1 200 OK\r\nTry-Id: t1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n".into(), "", Some(Fault::Unreadable(Wrong::Length)), false)]
-#[case::bare_feeds("HTTP/1.1 200 OK\nTry-Id: t1\n\n".into(), "", Some(Fault::Unreadable(Wrong::BareFeed)), false)]
-#[case::no_status("HTTP/1.1 2x0 OK\r\nTry-Id: t1\r\n\r\n".into(), "", Some(Fault::Unreadable(Wrong::FirstLine)), false)]
-#[case::upgrade("HTTP/1.1 101 Switching\r\nTry-Id: t1\r\n\r\n".into(), "", Some(Fault::Unreadable(Wrong::Unasked)), false)]
+#[case::nameless("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into(), "", Some(ResponseFault::MissingId), false)]
+#[case::two_names("HTTP/1.1 200 OK\r\nTry-Id: t1\r\nTry-Id: t0\r\n\r\n".into(), "", Some(ResponseFault::Unreadable(FramingError::HeaderLine)), false)]
+#[case::endless("HTTP/1.1 200 OK\r\nTry-Id: t1\r\n\r\nabc".into(), "", Some(ResponseFault::Unreadable(FramingError::UnknownEnd)), false)]
+#[case::two_lengths("HTTP/1.1 200 OK\r\nTry-Id: t1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n".into(), "", Some(ResponseFault::Unreadable(FramingError::ContentLength)), false)]
+#[case::bare_feeds("HTTP/1.1 200 OK\nTry-Id: t1\n\n".into(), "", Some(ResponseFault::Unreadable(FramingError::BareLineFeed)), false)]
+#[case::no_status("HTTP/1.1 2x0 OK\r\nTry-Id: t1\r\n\r\n".into(), "", Some(ResponseFault::Unreadable(FramingError::StartLine)), false)]
+#[case::upgrade("HTTP/1.1 101 Switching\r\nTry-Id: t1\r\n\r\n".into(), "", Some(ResponseFault::Unreadable(FramingError::Unsolicited)), false)]
 fn of_an_appliances_bytes_only_the_answer_that_is_due_is_seen(
     #[case] stream: String,
     #[case] answer: &str,
-    #[case] fault: Option<Fault>,
+    #[case] fault: Option<ResponseFault>,
     #[case] usable: bool,
 ) {
     for cut in cuts() {
@@ -667,58 +694,65 @@
             heard(unchanged.as_bytes(), cut, false),
             (unchanged.clone(), None, true)
         );
-        assert_eq!(heard(LATE.as_bytes(), cut, true).1, Some(Fault::Foreign));
+        assert_eq!(
+            heard(LATE.as_bytes(), cut, true).1,
+            Some(ResponseFault::WrongId)
+        );
     }
 }
 
 /// Guards against bytes that come before a request is written: they can't be its answer, whatever they say.
 #[test]
 fn what_comes_unasked_ends_the_connection() {
-    let mut echo = Echo::default();
-    assert!(echo.ask(b"t1", false));
+    let mut echo = ResponseFraming::default();
+    assert!(echo.announce(b"t1", false));
     echo.feed(OK.as_bytes());
     assert_eq!(
-        (echo.shown(), echo.fault()),
-        (&b""[..], Some(Fault::Unasked))
+        (echo.visible(), echo.fault()),
+        (&b""[..], Some(ResponseFault::Unsolicited))
     );
-    assert!(!echo.ask(b"t2", false));
+    assert!(!echo.announce(b"t2", false));
 }
 
 /// Guards against a request sent again that was written after all, and against one given up that may have run.
 #[test]
 fn what_is_called_off_was_never_written_and_never_will_be() {
-    let mut echo = Echo::default();
-    assert!(echo.ask(b"t1", false) && echo.call_off());
+    let mut echo = ResponseFraming::default();
+    assert!(echo.announce(b"t1", false) && echo.cancel());
     assert_eq!(
-        (echo.fault(), echo.usable(), echo.ask(b"t2", false)),
-        (Some(Fault::CalledOff), false, false)
+        (
+            echo.fault(),
+            echo.is_reusable(),
+            echo.announce(b"t2", false)
+        ),
+        (Some(ResponseFault::Cancelled), false, false)
     );
-    let mut written = Echo::default();
-    assert!(written.ask(b"t1", false));
-    written.written();
-    assert!(!written.call_off() && written.fault().is_none());
+    let mut written = ResponseFraming::default();
+    assert!(written.announce(b"t1", false));
+    written.on_written();
+    assert!(!written.cancel() && written.fault().is_none());
 }
 
 /// Guards against a late answer without an id taken for the one that is due: such a connection is used once.
 #[test]
 fn a_connection_used_without_an_id_is_not_used_again() {
-    let mut echo = Echo::default();
-    assert!(echo.ask(b"", false));
-    echo.written();
+    let mut echo = ResponseFraming::default();
+    assert!(echo.announce(b"", false));
+    echo.on_written();
     echo.feed(b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n");
-    assert!(!echo.shown().is_empty() && echo.fault().is_none() && !echo.usable());
+    assert!(!echo.visible().is_empty() && echo.fault().is_none() && !echo.is_reusable());
 }
 
 /// Guards against a connection that breaks off, its answer with it, because a body goes on behind the answer.
 #[test]
 fn what_comes_behind_an_early_answer_is_passed_over() {
     let mut door = door(&["POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 9000\r\n\r\nabc"]);
-    door.answered();
-    door.settle(0, &BOUNDS);
-    door.feed(0, &BOUNDS, &[b'x'; 500]);
+    door.on_answered();
+    door.advance(0, &LIMITS);
+    door.feed(0, &LIMITS, &[b'x'; 500]);
     assert_eq!(
-        (door.stand(), door.shown(), door.work()),
-        (Stand::Over, &b""[..], None)
+        (door.status(), door.visible(), door.current()),
+        (ConnectionStatus::Finished, &b""[..], None)
     );
 }
 
@@ -726,13 +760,13 @@
 #[test]
 fn the_longest_rest_holds() {
     let mut door = door(&[]);
-    door.tick(1_000, &BOUNDS);
-    let shorter = Bounds {
-        rest: 4_000,
-        ..BOUNDS
+    door.on_tick(1_000, &LIMITS);
+    let shorter = RequestLimits {
+        keep_alive_timeout: 4_000,
+        ..LIMITS
     };
-    door.tick(14_999, &shorter);
-    assert_eq!(door.stand(), Stand::Open);
-    door.tick(15_000, &shorter);
-    assert_eq!(door.stand(), Stand::Idle);
+    door.on_tick(14_999, &shorter);
+    assert_eq!(door.status(), ConnectionStatus::Open);
+    door.on_tick(15_000, &shorter);
+    assert_eq!(door.status(), ConnectionStatus::IdleTimeout);
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,12 +1,13 @@
-//! What happens to one request, from its last byte read to its one answer.
+//! What happens to one request, from its last byte read to its one response.
 //!
-//! No I/O and no clock. [`framing`] says where messages begin and end, and whose they are. [`journey`] is the one place
-//! where the ending of a forward becomes an answer, and the one that says whether a request may be sent again. [`orders`]
-//! remembers those that may run once only, in case their client comes back with one.
+//! No I/O and no clock: instants are passed in. [`framing`] says where messages begin and end, and which request a response
+//! belongs to. [`attempt_outcome`] is the one place where the outcome of an attempt becomes a response, and the one that
+//! says whether a request may be sent again. [`deduplication`] remembers requests that are not idempotent, in case their
+//! client repeats one.
 
 pub mod attempt_outcome;
+pub mod deduplication;
 pub mod framing;
-pub mod orders;
 
-/// A time span or an instant on a steady clock, in microseconds.
+/// An instant on a monotonic clock, or a span of time, in microseconds.
 pub type Micros = u64;
--- a/crates/http1/tests/corpus.rs
+++ b/crates/http1/tests/corpus.rs
@@ -26,11 +26,11 @@
 /// Guards against panics, and against boundaries that depend on the pieces a client's bytes come in.
 #[test]
 fn clients_bytes() {
-    replay("doorway", checks::doorway);
+    replay("request_framing", checks::request_framing);
 }
 
-/// Guards against panics, and against anything but the answer that is due among an appliance's bytes.
+/// Guards against panics, and against anything but the response that is due among an endpoint's bytes.
 #[test]
-fn appliances_bytes() {
-    replay("echo", checks::echo);
+fn endpoints_bytes() {
+    replay("response_framing", checks::response_framing);
 }
--- /dev/null
+++ b/crates/load-balancer/src/endpoint.rs
@@ -0,0 +1,269 @@
+//! One endpoint: what the platform lists of it, and what this proxy's attempts have shown.
+
+use crate::Micros;
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+/// What an endpoint reported of others' requests is half forgotten after this: about one request's time.
+const REPORT_HALF_LIFE: f64 = 250_000.0;
+/// The weight of the old mean latency of an endpoint at each answer: a mean over about eight answers.
+const LATENCY_DECAY: f64 = 0.88;
+/// An endpoint that is warming up is taken to be so many times slower.
+const WARMUP_FACTOR: f64 = 2.0;
+/// An endpoint that owes an answer for so many mean latencies of its service, at least [`MIN_PATIENCE`], and has given none
+/// since, may be dead.
+const PATIENCE: f64 = 4.0;
+const MIN_PATIENCE: Micros = 500_000;
+/// A dead one is ejected for this, doubling with each further failure.
+const EJECTION_TIME: Micros = 500_000;
+const MAX_EJECTION_TIME: Micros = 4_000_000;
+/// Failures in a row that still double the ejection time, and those that are counted.
+const MAX_DOUBLINGS: u32 = 3;
+const MAX_CONSECUTIVE_FAILURES: u32 = 4;
+/// One that rejected a request is left alone until about half of its queue is done.
+const REJECTION_BACKOFF: Micros = 150_000;
+/// The weight of the newest answer in the error rate, and in the service's mean of reported requests.
+const ERROR_RATE_GAIN: f64 = 0.1;
+pub(crate) const OTHERS_GAIN: f64 = 0.05;
+/// A latency counts for so many mean latencies at most; for less where requests of this proxy queued at the endpoint, as
+/// what waited there is no slowness of its own.
+const MAX_LATENCY: f64 = 4.0;
+const MAX_LATENCY_QUEUED: f64 = 1.5;
+/// Bounds of the logarithm of one latency over the mean, and of the endpoint's own mean of it.
+const MAX_LOG_RATIO: f64 = 1.5;
+const MIN_LOG_LATENCY: f64 = -0.7;
+const MAX_LOG_LATENCY: f64 = 1.5;
+
+/// An endpoint as the platform lists it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ListedEndpoint {
+    /// Its id; never given to another one.
+    pub id: Arc<str>,
+    /// The service that it belongs to.
+    pub service: Arc<str>,
+    /// Where it listens.
+    pub address: SocketAddrV4,
+    /// The zone that it is in.
+    pub zone: Arc<str>,
+    /// The version that it runs.
+    pub version: Arc<str>,
+    /// Requests that it works on at a time.
+    pub concurrency: u32,
+    /// It is about to end.
+    pub is_draining: bool,
+    /// When it will have warmed up.
+    pub warm_at: Micros,
+}
+
+/// How an attempt ended, as far as it tells of the endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointSignal {
+    /// A good answer.
+    Served,
+    /// A failure of its own.
+    Failed,
+    /// An answer that was garbled, cut short or another request's.
+    InvalidResponse,
+    /// It said that it did not run the request.
+    Rejected,
+    /// No connection came up.
+    NoConnection,
+    /// The connection ended without an answer.
+    ConnectionLost,
+    /// No answer in the time that there was.
+    TimedOut,
+    /// Nothing is said of it: the request was never sent, or was cancelled.
+    Inconclusive,
+}
+
+impl EndpointSignal {
+    /// Returns what the error rate counts: 1 for a failure, 0 for an answer, none for what tells neither.
+    fn error(self) -> Option<f64> {
+        match self {
+            EndpointSignal::Served => Some(0.0),
+            EndpointSignal::Failed
+            | EndpointSignal::InvalidResponse
+            | EndpointSignal::ConnectionLost
+            | EndpointSignal::TimedOut => Some(1.0),
+            EndpointSignal::Rejected
+            | EndpointSignal::NoConnection
+            | EndpointSignal::Inconclusive => None,
+        }
+    }
+}
+
+/// The load that an endpoint reports with an answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReportedLoad {
+    /// Requests that it works on.
+    pub running: u32,
+    /// Requests that wait there.
+    pub waiting: u32,
+    /// Requests that it works on at a time.
+    pub concurrency: u32,
+}
+
+/// An attempt that is in flight.
+#[derive(Clone, Copy, Debug)]
+struct InFlight {
+    attempt: u64,
+    sent_at: Micros,
+}
+
+/// An endpoint as this proxy knows it.
+#[derive(Clone, Debug)]
+pub(crate) struct EndpointState {
+    pub(crate) listed: ListedEndpoint,
+    /// This proxy's preference among equal endpoints, 0 to 1, the same for as long as both live.
+    pub(crate) preference: f64,
+    /// Part of its last answers that were failures.
+    pub(crate) error_rate: f64,
+    in_flight: Vec<InFlight>,
+    /// Requests of other proxies there, as last reported, and when.
+    others: f64,
+    reported_at: Micros,
+    /// Logarithm of its latency over the mean of the service.
+    log_latency: f64,
+    answered_at: Micros,
+    ejected_until: Micros,
+    consecutive_failures: u32,
+}
+
+impl EndpointState {
+    pub(crate) fn new(now: Micros, listed: ListedEndpoint, preference: f64) -> EndpointState {
+        EndpointState {
+            listed,
+            preference,
+            error_rate: 0.0,
+            in_flight: Vec::new(),
+            others: 0.0,
+            reported_at: now,
+            log_latency: 0.0,
+            answered_at: now,
+            ejected_until: 0,
+            consecutive_failures: 0,
+        }
+    }
+
+    pub(crate) fn in_flight(&self) -> usize {
+        self.in_flight.len()
+    }
+
+    /// Returns how many requests of other proxies are there, as far as is known now: what was reported drifts back to the
+    /// service's mean.
+    pub(crate) fn others(&self, mean: f64, now: Micros) -> f64 {
+        let age = now.saturating_sub(self.reported_at) as f64;
+        mean + (self.others - mean) * 0.5f64.powf(age / REPORT_HALF_LIFE)
+    }
+
+    /// Returns the latency that is expected of it with nothing queued, by the mean latency of its service.
+    pub(crate) fn latency(&self, mean: f64, now: Micros) -> f64 {
+        let warmup = if self.is_warming_up(now) {
+            WARMUP_FACTOR
+        } else {
+            1.0
+        };
+        mean * self.log_latency.exp() * warmup
+    }
+
+    fn is_warming_up(&self, now: Micros) -> bool {
+        now < self.listed.warm_at
+    }
+
+    pub(crate) fn is_ejected(&self, now: Micros) -> bool {
+        now < self.ejected_until
+    }
+
+    /// Whether it may be dead: it owes an answer for too long, or it has failed and this request must not run twice.
+    pub(crate) fn is_suspect(&self, mean_latency: f64, now: Micros, is_idempotent: bool) -> bool {
+        let patience = ((PATIENCE * mean_latency) as Micros).max(MIN_PATIENCE);
+        let oldest = self.in_flight.iter().map(|attempt| attempt.sent_at).min();
+        let is_overdue =
+            oldest.is_some_and(|sent_at| now > sent_at.max(self.answered_at) + patience);
+        let may_probe = is_idempotent && self.in_flight.is_empty();
+        is_overdue || (self.consecutive_failures > 0 && !may_probe)
+    }
+
+    pub(crate) fn on_sent(&mut self, now: Micros, attempt: u64) {
+        self.in_flight.push(InFlight {
+            attempt,
+            sent_at: now,
+        });
+    }
+
+    /// Takes an attempt off those in flight. Returns when it was sent; none if it is not known here.
+    pub(crate) fn take_in_flight(&mut self, attempt: u64) -> Option<Micros> {
+        let position = self.in_flight.iter().position(|a| a.attempt == attempt)?;
+        Some(self.in_flight.swap_remove(position).sent_at)
+    }
+
+    /// Takes note of a reported load. Returns how many requests of other proxies are in it.
+    pub(crate) fn on_report(&mut self, now: Micros, load: ReportedLoad) -> f64 {
+        let all = f64::from(load.running + load.waiting);
+        self.others = (all - self.in_flight.len() as f64).max(0.0);
+        self.reported_at = now;
+        self.others
+    }
+
+    /// Takes note of an answer's latency, by the mean latency of the service. Returns the latency as it counts for that
+    /// mean; none while the endpoint is warming up.
+    pub(crate) fn on_latency(&mut self, now: Micros, latency: Micros, mean: f64) -> Option<f64> {
+        if self.is_warming_up(now) {
+            return None;
+        }
+        let was_queued = self.in_flight.len() as f64 >= f64::from(self.listed.concurrency);
+        let max = if was_queued {
+            MAX_LATENCY_QUEUED
+        } else {
+            MAX_LATENCY
+        } * mean;
+        let latency = (latency as f64).min(max).max(1.0);
+        let ratio = (latency / mean).ln().clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO);
+        let log_latency = LATENCY_DECAY * self.log_latency + (1.0 - LATENCY_DECAY) * ratio;
+        self.log_latency = log_latency.clamp(MIN_LOG_LATENCY, MAX_LOG_LATENCY);
+        Some(latency)
+    }
+
+    /// Takes note of how an attempt that was sent at `sent_at` ended.
+    pub(crate) fn on_signal(&mut self, now: Micros, sent_at: Micros, signal: EndpointSignal) {
+        if let Some(error) = signal.error() {
+            self.error_rate += ERROR_RATE_GAIN * (error - self.error_rate);
+        }
+        match signal {
+            EndpointSignal::Served => {
+                self.on_answer(now);
+                self.ejected_until = 0;
+            }
+            EndpointSignal::Failed | EndpointSignal::InvalidResponse => self.on_answer(now),
+            EndpointSignal::Rejected => {
+                self.answered_at = now;
+                self.ejected_until = now + REJECTION_BACKOFF;
+            }
+            EndpointSignal::NoConnection => self.eject(now),
+            // One lost connection after an answer is no death; silence is told by what it owes.
+            EndpointSignal::ConnectionLost => {
+                if self.consecutive_failures > 0 || self.answered_at <= sent_at {
+                    self.eject(now);
+                }
+            }
+            EndpointSignal::TimedOut => {
+                if self.answered_at <= sent_at {
+                    self.eject(now);
+                }
+            }
+            EndpointSignal::Inconclusive => {}
+        }
+    }
+
+    fn on_answer(&mut self, now: Micros) {
+        self.answered_at = now;
+        self.consecutive_failures /= 2;
+    }
+
+    /// Leaves it alone for a while.
+    fn eject(&mut self, now: Micros) {
+        let time = EJECTION_TIME << self.consecutive_failures.min(MAX_DOUBLINGS);
+        self.ejected_until = now + time.min(MAX_EJECTION_TIME);
+        self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_CONSECUTIVE_FAILURES);
+    }
+}
