--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -1,10 +1,12 @@
-//! Which appliance a request goes to, whether it is let in at all, and the budget for further forwards.
+//! Load balancing and the retry budget of one proxy.
 //!
-//! No I/O and no clock. [`endpoint_selection::Field`] knows the appliances of all services, as listed and as met;
-//! [`retry_budget::Budget`] holds this agent's part of a sum that all agents together must keep.
+//! No I/O and no clock: instants are passed in. [`endpoint_selection::LoadBalancer`] knows the endpoints of all services and
+//! chooses one for each attempt; [`retry_budget::RetryBudget`] holds this proxy's part of a sum that all proxies together
+//! must keep.
 
+mod endpoint;
 pub mod endpoint_selection;
 pub mod retry_budget;
 
-/// A time span or an instant on a steady clock, in microseconds.
+/// An instant on a monotonic clock, or a span of time, in microseconds.
 pub type Micros = u64;
--- /dev/null
+++ b/crates/load-balancer/tests/endpoint_selection.rs
@@ -0,0 +1,243 @@
+//! The choice of an endpoint: who may get a request, who gets it, and what is learnt from how attempts end.
+
+use magpieline_load_balancer::endpoint_selection::{
+    EndpointSignal, ListedEndpoint, LoadBalancer, NoEndpoint, ReportedLoad, SelectionRequest,
+};
+use magpieline_load_balancer::Micros;
+use rstest::rstest;
+use std::collections::HashMap;
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+const MS: Micros = 1000;
+
+fn listed(id: &str, zone: &str, version: &str) -> ListedEndpoint {
+    ListedEndpoint {
+        id: id.into(),
+        service: "s".into(),
+        address: SocketAddrV4::new([10, 0, 0, 1].into(), 80),
+        zone: zone.into(),
+        version: version.into(),
+        concurrency: 2,
+        is_draining: false,
+        warm_at: 0,
+    }
+}
+
+/// A balancer with endpoints of one zone.
+fn balancer(ids: &[&str]) -> LoadBalancer {
+    let mut balancer = LoadBalancer::new("a", 3);
+    ids.iter()
+        .for_each(|id| balancer.upsert(0, listed(id, "a", "v1")));
+    balancer
+}
+
+fn request<'a>(
+    versions: &'a dyn Fn(&str) -> bool,
+    exclude: &'a [usize],
+    is_idempotent: bool,
+) -> SelectionRequest<'a> {
+    SelectionRequest {
+        service: "s",
+        is_allowed_version: versions,
+        exclude,
+        is_idempotent,
+        precedence: 2,
+        max_endpoints: 0,
+    }
+}
+
+fn any(_: &str) -> bool {
+    true
+}
+
+fn select(
+    balancer: &mut LoadBalancer,
+    now: Micros,
+    is_idempotent: bool,
+) -> Result<String, NoEndpoint> {
+    let choice = balancer.select(now, request(&any, &[], is_idempotent))?;
+    Ok(balancer
+        .get(choice.endpoint)
+        .expect("listed")
+        .id
+        .to_string())
+}
+
+/// Guards against requests that queue at one endpoint while another is idle.
+#[test]
+fn what_is_in_hand_spreads_until_all_are_busy_and_then_nothing_is_pushed_in() {
+    let mut balancer = balancer(&["x", "y", "z"]);
+    let mut sent = HashMap::<String, u32>::new();
+    while let Ok(id) = select(&mut balancer, 0, false) {
+        let at = balancer.find(&id).expect("listed");
+        balancer.on_sent(0, at);
+        *sent.entry(id).or_default() += 1;
+        let (least, most) = (sent.values().min(), sent.values().max());
+        assert!(
+            sent.len() < 3 || most.zip(least).is_some_and(|(m, l)| m - l <= 1),
+            "{sent:?}"
+        );
+    }
+    // Two at work and a few that wait: some endpoints never answer what is beyond that.
+    assert_eq!(sent.values().sum::<u32>(), 3 * 5);
+    assert_eq!(select(&mut balancer, 0, false), Err(NoEndpoint::AllBusy));
+}
+
+/// Guards against sending to what is closing, of another version, or was tried for the same request.
+#[test]
+fn only_those_that_may_get_it_are_chosen() {
+    let mut balancer = balancer(&["x"]);
+    balancer.upsert(0, listed("new", "a", "v2"));
+    balancer.upsert(
+        0,
+        ListedEndpoint {
+            is_draining: true,
+            ..listed("old", "a", "v1")
+        },
+    );
+    let x = balancer.find("x").expect("listed");
+    let v1 = |version: &str| version == "v1";
+    assert_eq!(
+        balancer
+            .select(0, request(&v1, &[], true))
+            .map(|c| c.endpoint),
+        Ok(x)
+    );
+    assert_eq!(
+        balancer.select(0, request(&v1, &[x], true)),
+        Err(NoEndpoint::NoneListed)
+    );
+    balancer.remove("x");
+    assert_eq!(
+        balancer.select(0, request(&v1, &[], true)),
+        Err(NoEndpoint::NoneListed)
+    );
+    assert_eq!(balancer.versions("s"), [Arc::<str>::from("v2")]);
+}
+
+/// Guards against an order lost at an endpoint that has gone dark: after the first silence nothing that may run
+/// once only goes there, until a lookup was answered.
+#[test]
+fn a_silent_endpoint_gets_nothing_that_may_run_once_only() {
+    let mut balancer = balancer(&["x", "y"]);
+    let (x, y) = (
+        balancer.find("x").expect("listed"),
+        balancer.find("y").expect("listed"),
+    );
+    let lost = balancer.on_sent(0, x);
+    let busy: Vec<u64> = (0..4).map(|_| balancer.on_sent(500 * MS, y)).collect();
+    // It owes an answer for long: the busier one is taken.
+    assert_eq!(select(&mut balancer, 800 * MS, false).as_deref(), Ok("y"));
+    balancer.on_end(800 * MS, x, lost, EndpointSignal::TimedOut, None);
+    assert_eq!(
+        select(&mut balancer, 1000 * MS, true).as_deref(),
+        Ok("y"),
+        "left alone at first"
+    );
+    busy.iter()
+        .for_each(|b| balancer.on_end(1000 * MS, y, *b, EndpointSignal::Served, None));
+    let later = 1400 * MS;
+    assert_eq!(select(&mut balancer, later, false).as_deref(), Ok("y"));
+    let trial = balancer.on_sent(later, x);
+    balancer.on_end(later + 100 * MS, x, trial, EndpointSignal::Served, None);
+    let all: Vec<_> = (0..3)
+        .map(|_| balancer.on_sent(later + 100 * MS, y))
+        .collect();
+    assert_eq!(
+        select(&mut balancer, later + 100 * MS, false).as_deref(),
+        Ok("x"),
+        "it serves again: {all:?}"
+    );
+}
+
+/// Guards against crowding an endpoint that others crowd already, and against old word of it.
+#[rstest]
+#[case(0, "y")]
+#[case(3000, "x")]
+fn what_it_told_of_others_counts_and_is_forgotten(#[case] later: u64, #[case] chosen: &str) {
+    let mut balancer = LoadBalancer::new("a", 3);
+    // The far one is taken only while the near one is crowded.
+    balancer.upsert(0, listed("x", "a", "v1"));
+    balancer.upsert(0, listed("y", "b", "v1"));
+    let x = balancer.find("x").expect("listed");
+    let number = balancer.on_sent(0, x);
+    let load = ReportedLoad {
+        running: 2,
+        waiting: 2,
+        concurrency: 2,
+    };
+    balancer.on_end(100 * MS, x, number, EndpointSignal::Served, Some(load));
+    assert_eq!(
+        select(&mut balancer, (100 + later) * MS, true).as_deref(),
+        Ok(chosen)
+    );
+}
+
+/// Guards against a trial that is meant to load a few endpoints and is spread by each proxy to others.
+#[test]
+fn all_agents_focus_on_the_same_endpoints() {
+    let ids = ["a", "b", "c", "d", "e", "f", "g", "h"];
+    let mut met = std::collections::BTreeSet::new();
+    for seed in 0..20 {
+        let mut balancer = LoadBalancer::new("a", seed);
+        ids.iter()
+            .for_each(|id| balancer.upsert(0, listed(id, "a", "v2")));
+        for _ in 0..4 {
+            let choice = balancer
+                .select(
+                    0,
+                    SelectionRequest {
+                        max_endpoints: 2,
+                        ..request(&any, &[], true)
+                    },
+                )
+                .expect("one of two");
+            met.insert(balancer.get(choice.endpoint).expect("listed").id.clone());
+            balancer.on_sent(0, choice.endpoint);
+        }
+    }
+    assert_eq!(met.len(), 2);
+}
+
+/// Guards against orders that are refused because lookups have filled every queue.
+#[test]
+fn what_ranks_high_finds_room_where_the_rest_is_refused() {
+    let mut balancer = balancer(&["x"]);
+    let x = balancer.find("x").expect("listed");
+    let mut room = |precedence| {
+        let mut sent = 0;
+        while balancer
+            .select(
+                0,
+                SelectionRequest {
+                    precedence,
+                    ..request(&any, &[], false)
+                },
+            )
+            .is_ok()
+        {
+            balancer.on_sent(0, x);
+            sent += 1;
+        }
+        sent
+    };
+    assert_eq!([2, 7, 1, 0].map(&mut room), [5, 0, 1, 1]);
+}
+
+/// Guards against a cold endpoint that gets as much as a warm one.
+#[test]
+fn a_cold_endpoint_waits_until_the_warm_ones_are_busy() {
+    let mut balancer = balancer(&["x"]);
+    balancer.upsert(
+        0,
+        ListedEndpoint {
+            warm_at: 3000 * MS,
+            ..listed("cold", "a", "v1")
+        },
+    );
+    let x = balancer.find("x").expect("listed");
+    assert_eq!(select(&mut balancer, 0, true).as_deref(), Ok("x"));
+    (0..3).for_each(|_| _ = balancer.on_sent(0, x));
+    assert_eq!(select(&mut balancer, 0, true).as_deref(), Ok("cold"));
+}
--- /dev/null
+++ b/crates/load-balancer/tests/retry_budget.rs
@@ -0,0 +1,52 @@
+//! The retry budget over many proxies that do not communicate.
+
+use magpieline_load_balancer::retry_budget::RetryBudget;
+use rand::{Rng, SeedableRng};
+use std::sync::Arc;
+
+/// Guards against a sum over all proxies that is broken while each keeps its own part: restarts, and proxies that
+/// spend all they have at the worst moment.
+#[test]
+fn parts_of_all_proxies_stay_below_the_whole_in_every_window() {
+    let (ratio, slack, proxies, window) = (0.2, 58.0, 12, 10_000);
+    let service: Arc<str> = "s".into();
+    let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(7);
+    let fresh = || {
+        let mut budget = RetryBudget::new(ratio, slack);
+        budget.set_slack(slack, proxies);
+        budget
+    };
+    let mut all: Vec<RetryBudget> = (0..proxies).map(|_| fresh()).collect();
+    let (mut requests, mut retries) = (Vec::new(), Vec::new());
+    for now in 0..60_000u64 {
+        let greedy = (now / 5000) % 2 == 1; // saves up for five seconds, then spends all it can
+        let one = rng.gen_range(0..all.len());
+        if rng.gen_bool(0.15) {
+            all[one].on_request(&service);
+            requests.push(now);
+        }
+        if rng.gen_bool(0.0005) {
+            all[one] = fresh();
+        }
+        for budget in all.iter_mut().filter(|b| greedy && b.balance("s") >= 1.0) {
+            budget.on_retry(&service);
+            retries.push(now);
+        }
+    }
+    let within = |list: &[u64], from: u64| {
+        list.iter()
+            .filter(|t| (from..from + window).contains(t))
+            .count()
+    };
+    for from in (0..50_000).step_by(500) {
+        let (requests, retries) = (
+            within(&requests, from) as f64,
+            within(&retries, from) as f64,
+        );
+        assert!(
+            retries <= ratio * requests + slack,
+            "{retries} of {requests} from {from}"
+        );
+    }
+    assert!(retries.len() > 500, "nothing was tried: {}", retries.len());
+}
--- a/crates/rollout/src/analysis.rs
+++ b/crates/rollout/src/analysis.rs
@@ -1,358 +1,439 @@
-//! How the votes and outcomes of all counters move a rollout.
+//! How the votes and outcomes of all proxies move a rollout.
 //!
-//! A counter alone sees too little of a trial in the few seconds that there are. What all have seen is told as totals;
-//! here the same duel is played on the sums, and beside it stands evidence that is quicker than an elimination: the
-//! log likelihood ratio of failures and of late answers, by route and in all, against the earlier build at the same
-//! time. Failures are held against the build only where they come from many of its appliances.
+//! One proxy sees too little of a trial in the few seconds that there are. What all have seen arrives as totals; here the same
+//! duel is played on the sums, and beside it stands evidence that is quicker than an elimination: the log likelihood ratio of
+//! failures and of late answers, by route and over all routes, against the earlier version at the same time. Failures count
+//! against the version only where they come from many of its endpoints.
 
 use crate::Micros;
 use magpieline::{Duel, Evidence, EARLIER, TRIAL};
-use magpieline_control_plane::messages::{Stage, Totals};
-use magpieline_control_plane::proxy_registry::Pooled;
+use magpieline_control_plane::messages::{ArmTotals, TrialStage};
+use magpieline_control_plane::proxy_registry::{DrainProgress, PooledEvidence};
 use magpieline_control_plane::state_machine::Phase;
 use std::collections::BTreeMap;
 
-/// Evidence that convinces: a log likelihood ratio, as in the agent; by chance once in e^6 trials.
-const ENOUGH: f64 = 6.0;
+/// Evidence that convinces: a log likelihood ratio, as in the sidecar; by chance once in e^6 trials.
+const CONVINCING: f64 = 6.0;
 /// Less than this leaves no doubt that matters.
-const DOUBT: f64 = 2.5;
-/// A bad build fails, or is late, this much more often than the earlier one, on one route at least.
-const WORSE: f64 = 0.25;
-/// The earlier build's usual rate is never taken to be below this: few answers can't show less.
-const USUAL_LEAST: f64 = 0.01;
+const DOUBTFUL: f64 = 2.5;
+/// A bad version fails, or is late, this much more often than the earlier one, on one route at least.
+const EXCESS_RATE: f64 = 0.25;
+/// The earlier version's usual rate is never taken to be below this: few answers can't show less.
+const MIN_USUAL_RATE: f64 = 0.01;
 /// The same for late answers: one alone leaves no doubt.
-const USUAL_LATE: f64 = 0.03;
-/// A route with fewer outcomes of the trial build than this is weighed with all others only: what few requests met by
-/// chance would stand for ever.
-const LEAST_OF_ROUTE: u32 = 6;
-/// A build that fails under load only fails a little more often while it has little: this much, against a usual rate
-/// that many answers of the earlier one have shown. It is a reason to doubt, not to condemn.
-const LITTLE_WORSE: f64 = 0.04;
-const LITTLE_USUAL: f64 = 0.003;
-/// Such failures count for this much of the others: the move shows them anyway, and two by chance must not stop a build.
-const LITTLE_COUNTS: f64 = 0.7;
+const MIN_USUAL_LATE_RATE: f64 = 0.03;
+/// The highest rate that a hypothesis assumes.
+const MAX_RATE: f64 = 0.95;
+/// A route with fewer outcomes of the version on trial than this is weighed together with all others only: what few requests met
+/// by chance would stand for ever.
+const MIN_ROUTE_OUTCOMES: u32 = 6;
+/// A version that fails only under load fails a little more often while it has little load: this much, against a usual rate
+/// that many answers of the earlier one have shown. It is a reason to doubt, not to roll back.
+const SMALL_EXCESS_RATE: f64 = 0.04;
+const MIN_USUAL_RATE_FOR_SMALL_EXCESS: f64 = 0.003;
+/// Such failures count for this much of the others: the promotion shows them anyway, and two by chance must not stop a version.
+const SMALL_EXCESS_WEIGHT: f64 = 0.7;
 /// Of the share that is allowed so much is used: retries and requests that arrive later count, too.
-const OF_SHARE: f64 = 0.65;
-/// A guarded stage lasts so long from the first outcomes on; then orders may go to the trial build. Twice that is the
-/// most, also if no outcome comes at all: some services have no request that may run again.
-const GUARDED: Micros = 1_500_000;
-const GUARDED_OUTCOMES: u32 = 8;
-/// Before a build is voted on it has been seen warm for so long, or in so many pulls (which are warm ones), with so many
+const USED_PART_OF_SHARE: f64 = 0.65;
+/// The stage for idempotent requests only lasts so long from the first outcomes on; then others may go to the version on trial.
+/// Twice that is the most, also if no outcome arrives at all: some services have no idempotent requests.
+const IDEMPOTENT_STAGE: Micros = 1_500_000;
+const IDEMPOTENT_STAGE_OUTCOMES: u32 = 8;
+/// Before a version is promoted it has been seen warm for so long, or in so many pulls (which are warm ones), with so many
 /// outcomes in all.
-const SOAK: Micros = 2_500_000;
-const SOAK_PULLS: u32 = 40;
-const LEAST_OUTCOMES: u32 = 10;
-/// In doubt to the last, a build is returned so long before the term ends.
-const LAST: Micros = 1_500_000;
-/// Time that is kept for the move before the term ends.
-const RESERVE: Micros = 4_500_000;
-const MOVE_AT_LEAST: Micros = 700_000;
-/// A move waits so long for counters that can't be reached; by then their own lists have shown them.
-const MOVE_AT_MOST: Micros = 4_000_000;
-/// Routes that the duel tells apart; more of them share the last place.
-const ROUTES: usize = 64;
-/// So many bad outcomes at least have to be left when the worst appliances are left out.
-const WIDESPREAD: u32 = 3;
-/// Votes back of so many counters send back, whatever the sums say.
-const BACK_VOTES: u32 = 2;
+const MIN_SOAK: Micros = 2_500_000;
+const MIN_SOAK_PULLS: u32 = 40;
+const MIN_OUTCOMES: u32 = 10;
+/// In doubt to the last, a version is rolled back so long before its time is over.
+const DECISION_MARGIN: Micros = 1_500_000;
+/// Time that is kept for the promotion before the rollout's time is over.
+const PROMOTION_RESERVE: Micros = 4_500_000;
+const MIN_PROMOTION: Micros = 700_000;
+/// A promotion waits so long for proxies that can't be reached; by then their own lists have shown them.
+const MAX_PROMOTION: Micros = 4_000_000;
+/// Routes that the duel tells apart; more of them share the last position.
+const MAX_ROUTES: usize = 64;
+/// So many bad outcomes at least have to be left when the worst endpoints are left out.
+const WIDESPREAD_OUTCOMES: u32 = 3;
+/// The worst endpoints that are left out: one in so many.
+const LEFT_OUT_ONE_IN: usize = 8;
+/// The votes of so many proxies for rolling back suffice where there is doubt.
+const MIN_ROLLBACK_VOTES: u32 = 2;
+/// How many outcomes of all routes a route's own rate starts from, and the prior of that rate.
+const PRIOR_OUTCOMES: f64 = 10.0;
+const PRIOR_BAD: f64 = 0.5;
+const PRIOR_ALL: f64 = 30.0;
 
-/// What the leader knows when it looks.
+/// What the leader knows at one moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Look<'a> {
+pub struct Observation<'a> {
+    /// When it is made.
     pub now: Micros,
-    pub pooled: &'a Pooled,
-    /// Appliances of the trial build that are listed as ready, and since when all of them have been warm.
-    pub listed: usize,
+    /// What all proxies have seen.
+    pub pooled: &'a PooledEvidence,
+    /// Endpoints of the version on trial that are listed as ready.
+    pub ready_endpoints: usize,
+    /// Since when most of them have been warm.
     pub warm_since: Option<Micros>,
-    /// Forwards under way to the old build, and counters that have not told that they know of the move.
-    pub leaving: (u32, u32),
-    /// Counters that can't be reached now.
-    pub away: u32,
+    /// How far proxies have drained the earlier version.
+    pub drain: DrainProgress,
+    /// Proxies that can't be reached now.
+    pub away_proxies: u32,
 }
 
 /// What is to be done with a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step {
-    None,
-    /// All counters enter this stage.
-    Stage(Stage),
-    /// The agreement is asked for this phase.
+pub enum Decision {
+    /// Nothing yet.
+    Wait,
+    /// All proxies are to enter this stage.
+    EnterStage(TrialStage),
+    /// This phase is to be proposed.
     Advance(Phase),
 }
 
-/// The judge of one rollout.
-pub struct Jury {
-    began: Micros,
+/// Evidence against the version on trial, on one route or on all.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+struct Scores {
+    failures: f64,
+    late_answers: f64,
+    /// Failures that are few, but more than the earlier version's.
+    few_failures: f64,
+    /// Whether there are enough outcomes to go by.
+    has_enough_outcomes: bool,
+}
+
+/// The analysis of one rollout.
+pub struct RolloutAnalysis {
+    started_at: Micros,
     within: Micros,
     phase: Phase,
     share: f64,
-    stage: Stage,
+    stage: TrialStage,
     duel: Duel,
-    /// Since when counters have been told of a stage, and outcomes of the trial build have come in.
-    told: Option<Micros>,
-    /// The guarded stage is over; it doesn't come again.
-    open: bool,
-    first_outcome: Option<Micros>,
-    moving_since: Option<Micros>,
+    /// Since when proxies have been in a stage.
+    stage_since: Option<Micros>,
+    /// The stage for idempotent requests only is over; it doesn't come again.
+    is_open: bool,
+    first_outcome_at: Option<Micros>,
+    promoting_since: Option<Micros>,
     /// What was weighed already, by route; none: all of them together.
-    weighed: BTreeMap<Option<u64>, [Totals; 2]>,
+    weighed: BTreeMap<Option<u64>, [ArmTotals; 2]>,
     scores: BTreeMap<Option<u64>, Scores>,
 }
 
-/// Evidence against the trial build on one route.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Scores {
-    pub failed: f64,
-    pub late: f64,
-    /// Failures that are few, but more than the earlier build's.
-    pub little: f64,
-    /// Whether there are enough outcomes to go by.
-    pub known: bool,
+/// What is usual for the earlier version on one route.
+struct UsualRates {
+    failure: f64,
+    late: f64,
 }
 
-impl Jury {
-    /// `began`: when it was ordered; `within`: the time that it has; `share`: what the rules allow it of requests.
-    pub fn new(began: Micros, within: Micros, phase: Phase, share: f64, rate: f64) -> Jury {
-        Jury {
-            began,
+impl UsualRates {
+    /// A route's rates are known by its own answers, and by those of all routes where it has few.
+    fn of(route: &ArmTotals, all: &ArmTotals) -> UsualRates {
+        let rate = |bad: u32, count: u32, all_bad: u32, all_count: u32| {
+            let overall = (f64::from(all_bad) + PRIOR_BAD) / (f64::from(all_count) + PRIOR_ALL);
+            (f64::from(bad) + PRIOR_OUTCOMES * overall) / (f64::from(count) + PRIOR_OUTCOMES)
+        };
+        let late = rate(late_pulls(route), route.pulls, late_pulls(all), all.pulls);
+        UsualRates {
+            failure: rate(route.bad, route.outcomes, all.bad, all.outcomes),
+            late: late.max(MIN_USUAL_LATE_RATE),
+        }
+    }
+}
+
+fn late_pulls(totals: &ArmTotals) -> u32 {
+    totals.pulls - totals.on_time.min(totals.pulls)
+}
+
+impl Scores {
+    /// Weighs new outcomes of the version on trial against what is usual.
+    fn weigh(&mut self, new: &ArmTotals, usual: &UsualRates) {
+        let bad = f64::from(new.bad);
+        let good = f64::from(new.outcomes - new.bad.min(new.outcomes));
+        let plain = usual.failure.max(MIN_USUAL_RATE);
+        Evidence::lean(
+            &mut self.failures,
+            bad,
+            good,
+            plain,
+            (plain + EXCESS_RATE).min(MAX_RATE),
+        );
+        let low = usual.failure.max(MIN_USUAL_RATE_FOR_SMALL_EXCESS);
+        Evidence::lean(
+            &mut self.few_failures,
+            bad,
+            good,
+            low,
+            (low + SMALL_EXCESS_RATE).min(MAX_RATE),
+        );
+        let late = f64::from(late_pulls(new));
+        let on_time = f64::from(new.on_time);
+        let worse = (usual.late + EXCESS_RATE).min(MAX_RATE);
+        Evidence::lean(&mut self.late_answers, late, on_time, usual.late, worse);
+    }
+}
+
+/// Returns the totals over all routes: of the earlier version, then of the one on trial.
+fn sum_over_routes(pooled: &PooledEvidence) -> [ArmTotals; 2] {
+    let mut sums = [ArmTotals::default(); 2];
+    for arms in pooled.routes.values() {
+        for (sum, arm) in sums.iter_mut().zip(arms) {
+            sum.add(arm);
+        }
+    }
+    sums
+}
+
+/// Whether what is bad comes from many of the endpoints of the version on trial: with the worst eighth of them left out there
+/// is still some, and a quarter of all.
+fn is_widespread(pooled: &PooledEvidence) -> bool {
+    let seen = pooled
+        .endpoints
+        .values()
+        .filter(|endpoint| endpoint.outcomes > 0);
+    let mut bad: Vec<u32> = seen.map(|endpoint| endpoint.bad + endpoint.late).collect();
+    bad.sort_unstable_by(|a, b| b.cmp(a));
+    let left_out = if bad.len() > 1 {
+        bad.len().div_ceil(LEFT_OUT_ONE_IN)
+    } else {
+        0
+    };
+    let all: u32 = bad.iter().sum();
+    let rest: u32 = bad[left_out..].iter().sum();
+    rest >= WIDESPREAD_OUTCOMES && 4 * rest >= all
+}
+
+impl RolloutAnalysis {
+    /// Starts the analysis of a rollout that was ordered at `started_at` and may take `within`. `share` is what the rules allow
+    /// it of the service's requests, `rate` the service's requests a second.
+    pub fn new(
+        started_at: Micros,
+        within: Micros,
+        phase: Phase,
+        share: f64,
+        rate: f64,
+    ) -> RolloutAnalysis {
+        RolloutAnalysis {
+            started_at,
             within,
             phase,
             share,
-            stage: Stage::default(),
-            duel: Duel::new(ROUTES, rate),
-            told: None,
-            open: false,
-            first_outcome: None,
-            moving_since: None,
+            stage: TrialStage::default(),
+            duel: Duel::new(MAX_ROUTES, rate),
+            stage_since: None,
+            is_open: false,
+            first_outcome_at: None,
+            promoting_since: None,
             weighed: BTreeMap::new(),
             scores: BTreeMap::new(),
         }
     }
 
-    pub fn stage(&self) -> Stage {
+    /// Returns the stage that proxies are to be in.
+    pub fn stage(&self) -> TrialStage {
         self.stage
     }
 
-    /// The agreement has moved the rollout.
-    pub fn moved(&mut self, now: Micros, phase: Phase) {
+    /// Takes note of the rollout's committed phase.
+    pub fn set_phase(&mut self, now: Micros, phase: Phase) {
         if self.phase != phase {
             self.phase = phase;
-            self.moving_since = (phase == Phase::Moving).then_some(now);
+            self.promoting_since = (phase == Phase::Promoting).then_some(now);
         }
     }
 
-    /// The strongest evidence against the trial build; [`ENOUGH`] convinces.
-    pub fn against(&self) -> f64 {
-        self.known()
-            .fold(0.0, |most: f64, s| most.max(s.failed).max(s.late))
+    /// Returns the strongest evidence against the version on trial; [`CONVINCING`] convinces.
+    pub fn evidence_against(&self) -> f64 {
+        let strongest =
+            |most: f64, scores: &Scores| most.max(scores.failures).max(scores.late_answers);
+        self.counted_scores().fold(0.0, strongest)
     }
 
-    fn known(&self) -> impl Iterator<Item = &Scores> {
-        self.scores
-            .iter()
-            .filter(|(route, s)| s.known || route.is_none())
-            .map(|(_, s)| s)
+    fn counted_scores(&self) -> impl Iterator<Item = &Scores> {
+        let counts = |(route, scores): &(&Option<u64>, &Scores)| {
+            scores.has_enough_outcomes || route.is_none()
+        };
+        self.scores.iter().filter(counts).map(|(_, scores)| scores)
     }
 
-    /// What speaks against it without condemning it; above [`DOUBT`] it is not moved to.
+    /// Returns what speaks against the version without convincing; above [`DOUBTFUL`] it is not promoted.
     pub fn doubt(&self) -> f64 {
-        self.known()
-            .fold(self.against(), |most, s| most.max(LITTLE_COUNTS * s.little))
+        let strongest =
+            |most: f64, scores: &Scores| most.max(SMALL_EXCESS_WEIGHT * scores.few_failures);
+        self.counted_scores()
+            .fold(self.evidence_against(), strongest)
     }
 
-    /// What it rests on, in a line.
-    pub fn account(&self, pooled: &Pooled) -> String {
-        let mut sums = [Totals::default(); 2];
-        for arms in pooled.routes.values() {
-            sums.iter_mut()
-                .zip(arms)
-                .for_each(|(sum, arm)| sum.add(arm));
-        }
-        let [e, t] = sums;
+    /// Says in a line what a decision rests on.
+    pub fn summary(&self, pooled: &PooledEvidence) -> String {
+        let [earlier, trial] = sum_over_routes(pooled);
+        let arm = |name: &str, totals: &ArmTotals| {
+            let ArmTotals {
+                on_time,
+                pulls,
+                bad,
+                outcomes,
+                ..
+            } = totals;
+            format!("{name} {on_time} of {pulls} in time, {bad} of {outcomes} failed")
+        };
+        let spread = if is_widespread(pooled) {
+            "widespread"
+        } else {
+            "at few endpoints"
+        };
         format!(
-            "trial {} of {} in time, {} failed of {}; earlier {} of {}, {} failed of {}; against it {:.1} of {ENOUGH}, \
-             doubt {:.1}, {}, votes back {}, on {}, of {}",
-            t.in_time, t.pulls, t.bad, t.outcomes, e.in_time, e.pulls, e.bad, e.outcomes, self.against(), self.doubt(),
-            if self.widespread(pooled) { "widespread" } else { "at few appliances" }, pooled.back, pooled.on, pooled.voices
+            "{}; {}; evidence against it {:.1} of {CONVINCING}, doubt {:.1}, {spread}; votes to roll back {}, to promote {}, of {}",
+            arm("trial", &trial),
+            arm("earlier", &earlier),
+            self.evidence_against(),
+            self.doubt(),
+            pooled.rollback_votes,
+            pooled.promote_votes,
+            pooled.reporters
         )
     }
 
-    /// Weighs what is new in the totals of all.
-    fn weigh(&mut self, pooled: &Pooled) {
-        let mut all = [Totals::default(); 2];
-        for arms in pooled.routes.values() {
-            all.iter_mut().zip(arms).for_each(|(sum, arm)| sum.add(arm));
-        }
-        let with_all = pooled
+    /// Weighs what is new in the totals of all proxies.
+    fn weigh(&mut self, pooled: &PooledEvidence) {
+        let all = sum_over_routes(pooled);
+        let by_route = pooled
             .routes
             .iter()
-            .map(|(route, arms)| (Some(*route), arms))
-            .chain([(None, &all)]);
-        for (place, (route, arms)) in with_all.enumerate() {
+            .map(|(route, arms)| (Some(*route), arms));
+        for (position, (route, arms)) in by_route.chain([(None, &all)]).enumerate() {
             let old = self.weighed.insert(route, *arms).unwrap_or_default();
-            let new = [0, 1].map(|i| arms[i].since(&old[i]));
-            let trial = &new[TRIAL];
-            // What is usual on a route is known by its own answers, and by all where it has few.
-            let usual = |bad: u32, of: u32, all_bad: u32, all_of: u32| {
-                let all = (f64::from(all_bad) + 0.5) / (f64::from(all_of) + 30.0);
-                (f64::from(bad) + 10.0 * all) / (f64::from(of) + 10.0)
-            };
-            let (e, every) = (&arms[EARLIER], &all[EARLIER]);
-            let late = |t: &Totals| t.pulls - t.in_time.min(t.pulls);
-            let failing = usual(e.bad, e.outcomes, every.bad, every.outcomes);
-            let lating = usual(late(e), e.pulls, late(every), every.pulls).max(USUAL_LATE);
+            let new = [0, 1].map(|arm| arms[arm].since(&old[arm]));
+            let usual = UsualRates::of(&arms[EARLIER], &all[EARLIER]);
             let scores = self.scores.entry(route).or_default();
-            scores.known = arms[TRIAL].outcomes >= LEAST_OF_ROUTE;
-            let (bad, passed) = (
-                f64::from(trial.bad),
-                f64::from(trial.outcomes - trial.bad.min(trial.outcomes)),
-            );
-            let (plain, little) = (failing.max(USUAL_LEAST), failing.max(LITTLE_USUAL));
-            Evidence::lean(
-                &mut scores.failed,
-                bad,
-                passed,
-                plain,
-                (plain + WORSE).min(0.95),
-            );
-            Evidence::lean(
-                &mut scores.little,
-                bad,
-                passed,
-                little,
-                (little + LITTLE_WORSE).min(0.95),
-            );
-            let (slow, in_time) = (f64::from(late(trial)), f64::from(trial.in_time));
-            Evidence::lean(
-                &mut scores.late,
-                slow,
-                in_time,
-                lating,
-                (lating + WORSE).min(0.95),
-            );
-            if route.is_none() {
-                continue; // the duel knows routes
-            }
-            for (arm, totals) in new.iter().enumerate() {
-                for i in 0..totals.pulls {
-                    self.duel.add(
-                        arm,
-                        place.min(ROUTES - 1),
-                        f64::from(u8::from(i < totals.in_time)),
-                    );
-                }
-                (0..totals.outcomes).for_each(|_| self.duel.outcome(arm));
+            scores.has_enough_outcomes = arms[TRIAL].outcomes >= MIN_ROUTE_OUTCOMES;
+            scores.weigh(&new[TRIAL], &usual);
+            // The duel knows single routes only.
+            if route.is_some() {
+                self.play(position.min(MAX_ROUTES - 1), &new);
             }
         }
         self.duel.judge();
     }
 
-    /// Whether what is bad comes from many of the trial build's appliances: with the worst eighth of them left out
-    /// there is still some, and a quarter of all.
-    fn widespread(&self, pooled: &Pooled) -> bool {
-        let mut ills: Vec<u32> = pooled
-            .spots
-            .values()
-            .filter(|s| s.outcomes > 0)
-            .map(|s| s.bad + s.late)
-            .collect();
-        ills.sort_unstable_by(|a, b| b.cmp(a));
-        let left_out = if ills.len() > 1 {
-            ills.len().div_ceil(8)
-        } else {
-            0
-        };
-        let (all, rest): (u32, u32) = (ills.iter().sum(), ills[left_out..].iter().sum());
-        rest >= WIDESPREAD && 4 * rest >= all
+    /// Plays new outcomes on one route in the duel.
+    fn play(&mut self, position: usize, new: &[ArmTotals; 2]) {
+        for (arm, totals) in new.iter().enumerate() {
+            for pull in 0..totals.pulls {
+                let reward = f64::from(u8::from(pull < totals.on_time));
+                self.duel.add(arm, position, reward);
+            }
+            for _ in 0..totals.outcomes {
+                self.duel.outcome(arm);
+            }
+        }
     }
 
-    /// Looks at what all have seen, and says what to do. To be called a few times a second.
-    pub fn look(&mut self, look: Look) -> Step {
-        self.weigh(look.pooled);
-        let now = look.now;
-        let outcomes: u32 = look
-            .pooled
+    /// Looks at what all proxies have seen, and decides what to do. To be called a few times a second.
+    pub fn decide(&mut self, observation: Observation) -> Decision {
+        let pooled = observation.pooled;
+        self.weigh(pooled);
+        let outcomes: u32 = pooled
             .routes
             .values()
             .map(|arms| arms[TRIAL].outcomes)
             .sum();
-        if outcomes > 0 && self.first_outcome.is_none() {
-            self.first_outcome = Some(now);
+        if outcomes > 0 && self.first_outcome_at.is_none() {
+            self.first_outcome_at = Some(observation.now);
         }
-        // One appliance that is sick or stalls condemns no build.
-        let many = self.widespread(look.pooled);
-        let convinced = self.against() >= ENOUGH || self.duel.dropped() == Some(TRIAL);
-        let voted = look.pooled.back >= BACK_VOTES && self.against() >= DOUBT;
-        if matches!(self.phase, Phase::Trial | Phase::Moving) && many && (convinced || voted) {
-            return Step::Advance(Phase::Returned);
+        if matches!(self.phase, Phase::Trial | Phase::Promoting) && self.must_roll_back(pooled) {
+            return Decision::Advance(Phase::RolledBack);
         }
         match self.phase {
-            Phase::Trial => self.trial(look, outcomes),
-            Phase::Moving => self.moving(look),
-            Phase::Delivered | Phase::Returned => Step::None,
+            Phase::Trial => self.decide_trial(observation, outcomes),
+            Phase::Promoting => self.decide_promotion(observation),
+            Phase::Completed | Phase::RolledBack => Decision::Wait,
         }
     }
 
-    fn trial(&mut self, look: Look, outcomes: u32) -> Step {
-        let now = look.now;
-        if look.listed == 0 {
-            return Step::None;
+    /// Whether the version is bad. One endpoint that is unhealthy or stalls condemns no version.
+    fn must_roll_back(&self, pooled: &PooledEvidence) -> bool {
+        let evidence = self.evidence_against();
+        let is_convincing = evidence >= CONVINCING || self.duel.dropped() == Some(TRIAL);
+        let is_voted = pooled.rollback_votes >= MIN_ROLLBACK_VOTES && evidence >= DOUBTFUL;
+        is_widespread(pooled) && (is_convincing || is_voted)
+    }
+
+    fn decide_trial(&mut self, observation: Observation, outcomes: u32) -> Decision {
+        let now = observation.now;
+        if observation.ready_endpoints == 0 {
+            return Decision::Wait;
         }
-        let told = *self.told.get_or_insert(now);
-        let guarded = match self.first_outcome {
-            _ if self.open => false,
-            None => now < told + 2 * GUARDED,
-            Some(first) => {
-                now < first + GUARDED || (outcomes < GUARDED_OUTCOMES && now < first + 2 * GUARDED)
-            }
-        };
-        self.open = !guarded;
-        let stage = Stage {
-            share: OF_SHARE * self.share,
-            guarded,
-            focus: 0,
+        let idempotent_only = self.is_idempotent_only(now, outcomes);
+        self.is_open = !idempotent_only;
+        let share = USED_PART_OF_SHARE * self.share;
+        let stage = TrialStage {
+            share,
+            idempotent_only,
+            max_endpoints: 0,
         };
         if stage != self.stage {
             self.stage = stage;
-            return Step::Stage(stage);
+            return Decision::EnterStage(stage);
+        }
+        let is_doubtful = self.doubt() >= DOUBTFUL || self.duel.dropped() == Some(TRIAL);
+        if !is_doubtful && self.is_due(&observation, outcomes) {
+            return Decision::Advance(Phase::Promoting);
+        }
+        let ends_at = self.started_at + self.within;
+        let is_last_moment = now + DECISION_MARGIN.min(self.within / 6) >= ends_at;
+        if is_doubtful && is_last_moment {
+            return Decision::Advance(Phase::RolledBack);
+        }
+        Decision::Wait
+    }
+
+    fn is_idempotent_only(&mut self, now: Micros, outcomes: u32) -> bool {
+        let stage_since = *self.stage_since.get_or_insert(now);
+        if self.is_open {
+            return false;
         }
-        let reserve = RESERVE.min(self.within / 3);
-        let due = self.began + self.within - reserve;
-        let pulls: u32 = look
+        let Some(first) = self.first_outcome_at else {
+            return now < stage_since + 2 * IDEMPOTENT_STAGE;
+        };
+        let has_few_outcomes = outcomes < IDEMPOTENT_STAGE_OUTCOMES;
+        now < first + IDEMPOTENT_STAGE || (has_few_outcomes && now < first + 2 * IDEMPOTENT_STAGE)
+    }
+
+    /// Whether the version has been seen for long enough, and it is time to promote it.
+    fn is_due(&self, observation: &Observation, outcomes: u32) -> bool {
+        let now = observation.now;
+        let reserve = PROMOTION_RESERVE.min(self.within / 3);
+        let due_at = self.started_at + self.within - reserve;
+        let pulls: u32 = observation
             .pooled
             .routes
             .values()
             .map(|arms| arms[TRIAL].pulls)
             .sum();
-        let soaked = look
-            .warm_since
-            .is_some_and(|since| now >= since + SOAK || pulls >= SOAK_PULLS);
-        let ripe = soaked && outcomes >= LEAST_OUTCOMES && now >= due;
-        let doubted = self.doubt() >= DOUBT || self.duel.dropped() == Some(TRIAL);
-        if ripe && !doubted {
-            return Step::Advance(Phase::Moving);
-        }
-        let last = now + LAST.min(self.within / 6) >= self.began + self.within;
-        if doubted && last {
-            return Step::Advance(Phase::Returned);
-        }
-        Step::None
+        let has_soaked = |since| now >= since + MIN_SOAK || pulls >= MIN_SOAK_PULLS;
+        observation.warm_since.is_some_and(has_soaked) && outcomes >= MIN_OUTCOMES && now >= due_at
     }
 
-    fn moving(&mut self, look: Look) -> Step {
-        let since = *self.moving_since.get_or_insert(look.now);
-        let (under_way, unheard) = look.leaving;
-        let left = under_way == 0 && unheard == 0 && look.away == 0;
-        let waited = look.now >= since + MOVE_AT_MOST;
-        // The old appliances end as soon as it is delivered: with a doubt left it is not.
-        match (self.doubt() >= DOUBT, waited) {
-            (true, true) => return Step::Advance(Phase::Returned),
-            (true, false) => return Step::None,
-            (false, _) => {}
+    fn decide_promotion(&mut self, observation: Observation) -> Decision {
+        let now = observation.now;
+        let since = *self.promoting_since.get_or_insert(now);
+        let is_drained =
+            observation.drain == DrainProgress::default() && observation.away_proxies == 0;
+        let has_waited = now >= since + MAX_PROMOTION;
+        // The earlier endpoints end as soon as the rollout is completed: with a doubt left it is not.
+        if self.doubt() >= DOUBTFUL {
+            return if has_waited {
+                Decision::Advance(Phase::RolledBack)
+            } else {
+                Decision::Wait
+            };
         }
-        if look.now >= since + MOVE_AT_LEAST && (left || waited) {
-            return Step::Advance(Phase::Delivered);
+        if now >= since + MIN_PROMOTION && (is_drained || has_waited) {
+            return Decision::Advance(Phase::Completed);
         }
-        Step::None
+        Decision::Wait
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,12 +1,14 @@
-//! Builds on trial.
+//! Rollouts: versions of a service on trial beside the earlier one.
 //!
-//! In every counter `trial::Trial` plays the two arms, the earlier and the trial build, by magpieline's
-//! Efficient-UCBV (`magpieline::duel::Duel`): the index chooses first sends within the told share, an elimination
-//! votes. On the leading sorting machine `analysis::Jury` plays the same duel on the outcomes of all, weighs the votes
-//! and the evidence, and moves the rollout. No I/O and no clock.
+//! In every proxy a [`trial::Trial`] plays the two arms, the earlier version and the one on trial, by magpieline's
+//! Efficient-UCBV ([`magpieline::Duel`]): the index chooses first attempts within the allowed share, and an elimination votes.
+//! On the leading controller an [`analysis::RolloutAnalysis`] plays the same duel on the outcomes of all proxies, weighs the
+//! votes and the evidence, and moves the rollout on.
+//!
+//! No I/O and no clock.
 
 pub mod analysis;
 pub mod trial;
 
-/// A time span or an instant on a steady clock, in microseconds.
+/// An instant on a monotonic clock, or a span of time, in microseconds.
 pub type Micros = u64;
--- a/crates/rollout/src/trial.rs
+++ b/crates/rollout/src/trial.rs
@@ -1,164 +1,185 @@
-//! One counter's part in a rollout.
+//! One proxy's part in a rollout.
 
 use magpieline::{Duel, EARLIER, TRIAL};
-use magpieline_control_plane::messages::{Evidence, Spot, Stage, Totals, Vote};
+use magpieline_control_plane::messages::{
+    ArmTotals, EndpointTotals, TrialEvidence, TrialStage, Vote,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Routes that are told apart; more of them share the last place.
-const ROUTES: usize = 32;
-/// Sends that a bucket saves up: two crowd no cold appliance.
-const SAVED: f64 = 2.0;
+/// Routes that are told apart; more of them share the last position.
+const MAX_ROUTES: usize = 32;
+/// Attempts that the token bucket saves up: two crowd no endpoint that is warming up.
+const BUCKET_CAPACITY: f64 = 2.0;
 
-/// How a forward of the service ended, as far as it tells of its build.
+/// How an attempt at an endpoint of the service ended, as far as it tells of the version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen {
-    /// Whether it went to the trial build.
-    pub trial: bool,
-    /// The route, as a number that is the same at all counters, and the appliance likewise.
+pub struct AttemptOutcome {
+    /// It went to the version on trial.
+    pub on_trial: bool,
+    /// The route, as a number that is the same at all proxies ([`stable_hash`]).
     pub route: u64,
-    pub appliance: u32,
-    /// The first forward of its request.
-    pub first: bool,
-    /// Served; the appliance's own failure; or nothing that tells of the build (a break, a garbled answer).
-    pub end: End,
-    /// Served within the route's target.
-    pub in_time: bool,
-    /// Sent while the appliance was slow from its start: its time says nothing of the build.
-    pub cold: bool,
-    /// What it took, in microseconds.
-    pub spent: u64,
+    /// The endpoint, likewise.
+    pub endpoint: u32,
+    /// It was the first attempt of its request.
+    pub is_first: bool,
+    /// How it ended.
+    pub end: AttemptEnd,
+    /// It was served within the route's latency target.
+    pub on_time: bool,
+    /// It was sent while the endpoint was warming up: its time says nothing of the version.
+    pub warming_up: bool,
+    /// The time that it took, in microseconds.
+    pub elapsed: u64,
 }
 
-/// What a forward says of a build.
+/// What an attempt says of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
+    /// It was served.
     Served,
+    /// The endpoint itself failed.
     Failed,
-    /// No answer in all its time.
-    Silent,
-    Nothing,
+    /// There was no answer in all its time.
+    TimedOut,
+    /// Nothing that tells of the version: a broken connection, a garbled answer.
+    Inconclusive,
 }
 
-/// A trial as one counter plays it.
+/// A trial as one proxy plays it.
 pub struct Trial {
     service: Arc<str>,
-    order: u64,
-    stage: Stage,
+    rollout_id: u64,
+    stage: TrialStage,
     duel: Duel,
     routes: Vec<u64>,
-    totals: Vec<[Totals; 2]>,
-    spots: BTreeMap<u32, Spot>,
+    totals: Vec<[ArmTotals; 2]>,
+    endpoints: BTreeMap<u32, EndpointTotals>,
     tokens: f64,
-    taken: u64,
+    requests: u64,
     vote: Vote,
 }
 
 impl Trial {
-    /// `rate`: requests a second of this counter for the service; `first`: what the bucket begins with, drawn from
-    /// [0, 1) so that counters don't all begin with a send to the same cold appliances.
-    pub fn new(service: Arc<str>, order: u64, rate: f64, first: f64) -> Trial {
+    /// `rate`: requests a second of this proxy for the service. `first_tokens`: what the bucket begins with, drawn from [0, 1) so
+    /// that proxies don't all begin with an attempt at the same cold endpoints.
+    pub fn new(service: Arc<str>, rollout_id: u64, rate: f64, first_tokens: f64) -> Trial {
         Trial {
             service,
-            order,
-            stage: Stage::default(),
-            duel: Duel::new(ROUTES, rate),
+            rollout_id,
+            stage: TrialStage::default(),
+            duel: Duel::new(MAX_ROUTES, rate),
             routes: Vec::new(),
             totals: Vec::new(),
-            spots: BTreeMap::new(),
-            tokens: first.clamp(0.0, 1.0),
-            taken: 0,
+            endpoints: BTreeMap::new(),
+            tokens: first_tokens.clamp(0.0, 1.0),
+            requests: 0,
             vote: Vote::None,
         }
     }
 
-    pub fn order(&self) -> u64 {
-        self.order
+    /// Returns the rollout's id.
+    pub fn rollout_id(&self) -> u64 {
+        self.rollout_id
     }
 
-    pub fn stage(&self) -> Stage {
+    /// Returns the stage that the trial is in.
+    pub fn stage(&self) -> TrialStage {
         self.stage
     }
 
-    /// The leader has told another stage. What was counted goes on: stages differ in who may go, not in the build.
-    pub fn enter(&mut self, stage: Stage) {
+    /// Enters a stage that the leader has told. What was counted stays: stages differ in who may go, not in the version.
+    pub fn enter(&mut self, stage: TrialStage) {
         self.stage = stage;
     }
 
-    /// A request for the service has been taken. The bucket is no deeper than what is given out for free, and fills
-    /// by the share for each request: the share holds in every span, summed over counters, without talk.
-    pub fn request(&mut self) {
-        self.taken += 1;
-        self.tokens = (self.tokens + self.stage.share).min(SAVED);
+    /// Takes note of a request for the service. The bucket is no deeper than what is given out for free, and fills by the share
+    /// for each request: the share holds in every time span, summed over proxies, without communication.
+    pub fn on_request(&mut self) {
+        self.requests += 1;
+        self.tokens = (self.tokens + self.stage.share).min(BUCKET_CAPACITY);
     }
 
-    /// Whether a first send goes to the trial build: within the share, as the design's index says. While a stage is
-    /// guarded only what may run again goes there.
-    pub fn wants(&self, repeatable: bool) -> bool {
-        let open = !self.stage.guarded || repeatable;
-        self.stage.share > 0.0 && open && self.tokens >= 1.0 && self.duel.favours_trial()
+    /// Whether a first attempt goes to the version on trial: within the share, as the index says.
+    pub fn prefers_trial(&self, is_idempotent: bool) -> bool {
+        let is_allowed = is_idempotent || !self.stage.idempotent_only;
+        let has_token = self.stage.share > 0.0 && self.tokens >= 1.0;
+        has_token && is_allowed && self.duel.favours_trial()
     }
 
-    /// Any forward goes to the trial build; each is paid for.
-    pub fn sent(&mut self) {
+    /// Takes note of any attempt at the version on trial; each takes a token.
+    pub fn on_trial_attempt(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// A forward has ended.
-    pub fn seen(&mut self, seen: Seen) {
-        if seen.end == End::Nothing {
+    /// Takes note of how an attempt ended.
+    pub fn on_outcome(&mut self, outcome: AttemptOutcome) {
+        if outcome.end == AttemptEnd::Inconclusive {
             return;
         }
-        let place = self.place(seen.route);
-        let arm = if seen.trial { TRIAL } else { EARLIER };
-        let totals = &mut self.totals[place][arm];
+        let has_failed = outcome.end == AttemptEnd::Failed;
+        let position = self.position_of(outcome.route);
+        let arm = if outcome.on_trial { TRIAL } else { EARLIER };
+        let totals = &mut self.totals[position][arm];
         totals.outcomes += 1;
-        totals.bad += u32::from(seen.end == End::Failed);
-        if seen.end == End::Served {
+        totals.bad += u32::from(has_failed);
+        if outcome.end == AttemptEnd::Served {
             totals.served += 1;
-            totals.spent_ms += seen.spent / 1000;
+            totals.latency_sum_ms += outcome.elapsed / 1000;
         }
-        if seen.trial {
-            let spot = self.spots.entry(seen.appliance).or_insert(Spot {
-                appliance: seen.appliance,
-                ..Spot::default()
-            });
-            spot.outcomes += 1;
-            spot.bad += u32::from(seen.end == End::Failed);
-            spot.late += u32::from(seen.end != End::Failed && !seen.in_time && !seen.cold);
+        if outcome.on_trial {
+            self.count_endpoint(&outcome);
         }
-        // A failure is one at any age; a time is no pull while the appliance is slow from its start.
-        if !seen.first || (seen.cold && seen.end != End::Failed) {
+        // A failure is one at any age; a time is no pull while the endpoint is warming up.
+        if !outcome.is_first || (outcome.warming_up && !has_failed) {
             return;
         }
+        let totals = &mut self.totals[position][arm];
         totals.pulls += 1;
-        totals.in_time += u32::from(seen.in_time);
-        self.duel.add(arm, place, f64::from(u8::from(seen.in_time)));
+        totals.on_time += u32::from(outcome.on_time);
+        self.play(arm, position, outcome.on_time);
+    }
+
+    fn count_endpoint(&mut self, outcome: &AttemptOutcome) {
+        let endpoint = outcome.endpoint;
+        let totals = self.endpoints.entry(endpoint).or_insert(EndpointTotals {
+            endpoint,
+            ..Default::default()
+        });
+        let has_failed = outcome.end == AttemptEnd::Failed;
+        totals.outcomes += 1;
+        totals.bad += u32::from(has_failed);
+        totals.late += u32::from(!has_failed && !outcome.on_time && !outcome.warming_up);
+    }
+
+    fn play(&mut self, arm: usize, position: usize, on_time: bool) {
+        self.duel.add(arm, position, f64::from(u8::from(on_time)));
         self.duel.outcome(arm);
         self.duel.judge();
         self.vote = match self.duel.dropped() {
-            Some(TRIAL) => Vote::Back,
-            Some(_) => Vote::On,
+            Some(TRIAL) => Vote::RollBack,
+            Some(_) => Vote::Promote,
             None => self.vote,
         };
     }
 
-    fn place(&mut self, route: u64) -> usize {
-        if let Some(place) = self.routes.iter().position(|r| *r == route) {
-            return place;
+    /// Returns a route's position among those that are told apart.
+    fn position_of(&mut self, route: u64) -> usize {
+        if let Some(position) = self.routes.iter().position(|known| *known == route) {
+            return position;
         }
-        if self.routes.len() < ROUTES {
+        if self.routes.len() < MAX_ROUTES {
             self.routes.push(route);
-            self.totals.push([Totals::default(); 2]);
+            self.totals.push([ArmTotals::default(); 2]);
         }
         self.routes.len() - 1
     }
 
-    /// What there is to tell: totals since the trial began here.
-    pub fn evidence(&self) -> Evidence {
-        Evidence {
+    /// Returns what there is to report: totals since the trial began here.
+    pub fn evidence(&self) -> TrialEvidence {
+        TrialEvidence {
             service: self.service.clone(),
-            order: self.order,
+            rollout_id: self.rollout_id,
             vote: self.vote,
             totals: self
                 .routes
@@ -166,16 +187,17 @@
                 .copied()
                 .zip(self.totals.iter().copied())
                 .collect(),
-            spots: self.spots.values().copied().collect(),
-            taken: self.taken,
-            ..Evidence::default()
+            endpoints: self.endpoints.values().copied().collect(),
+            requests: self.requests,
+            ..TrialEvidence::default()
         }
     }
 }
 
-/// A name as a number that is the same everywhere (FNV-1a).
-pub fn number(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, b| {
-        (hash ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
-    })
+/// Returns a name as a number that is the same everywhere (FNV-1a, 64 bits).
+pub fn stable_hash(name: &str) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x100_0000_01b3;
+    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(PRIME);
+    name.bytes().fold(OFFSET_BASIS, step)
 }
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -1,12 +1,12 @@
-//! Whole rollouts on a model: counters that play their trials, a leader that pools what they tell, appliances of an old
-//! and a new build. Checked over seeds: a bad build is returned and its exposure stays within the rules, a good one is
-//! delivered in its term.
+//! Complete rollouts on a model: proxies that play their trials, a leader that pools what they report, endpoints of an earlier
+//! and a new version. Checked over seeds: a bad version is rolled back and its exposure stays within the rules, a good one is
+//! completed in its time.
 
-use magpieline_control_plane::messages::{Evidence, Hello, Report};
-use magpieline_control_plane::proxy_registry::Roster;
+use magpieline_control_plane::messages::{Hello, Report, TrialEvidence};
+use magpieline_control_plane::proxy_registry::ProxyRegistry;
 use magpieline_control_plane::state_machine::Phase;
-use magpieline_rollout::analysis::{Jury, Look, Step};
-use magpieline_rollout::trial::{End, Seen, Trial};
+use magpieline_rollout::analysis::{Decision, Observation, RolloutAnalysis};
+use magpieline_rollout::trial::{AttemptEnd, AttemptOutcome, Trial};
 use magpieline_rollout::Micros;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -17,9 +17,9 @@
 const SHARE: f64 = 0.1;
 const SLACK: f64 = 50.0;
 
-/// What is wrong with the new build.
+/// What is wrong with the new version.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Build {
+enum Version {
     Good,
     /// Half of its answers fail.
     Fails,
@@ -33,60 +33,60 @@
     UnderLoad,
 }
 
-/// What happens besides.
+/// What else happens.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Trouble {
+enum Fault {
     Calm,
-    /// One appliance in eight of either build fails most of its requests.
-    SickOnes,
-    /// The leader changes in the middle: another jury, all links anew.
-    Leader,
-    /// A third of the counters restart in the middle.
+    /// One endpoint in eight of either version fails most of its requests.
+    UnhealthyEndpoints,
+    /// The leader changes in the middle: another analysis, new sessions.
+    LeaderChange,
+    /// A third of the proxies restart in the middle.
     Restarts,
-    /// No request of the service may run again.
-    OrdersOnly,
+    /// No request of the service is idempotent.
+    NoIdempotentRequests,
 }
 
 struct Outcome {
     phase: Phase,
-    /// When it came to that, from the order.
+    /// When that was decided, from the order.
     at: Micros,
     exposed: f64,
     requests: f64,
-    account: String,
+    summary: String,
 }
 
-/// A counter says who it is.
-fn hello(counter: usize, life: u64) -> Hello {
+/// The hello of a proxy.
+fn hello(proxy: usize, incarnation: u64) -> Hello {
     Hello {
-        node: counter.to_string(),
+        node: proxy.to_string(),
         zone: "z".into(),
-        life,
-        edition: 1,
+        incarnation,
+        config_version: 1,
         term: 1,
-        at: 0,
+        sent_at: 0,
     }
 }
 
-/// Plays a rollout: `counters` with `rate` requests a second in all.
-fn play(seed: u64, build: Build, trouble: Trouble, counters: usize, rate: f64) -> Outcome {
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
-    let mut roster = Roster::default();
-    roster.leads_in(Some(1));
-    let trial = |chance: &mut ChaCha8Rng| {
+/// Plays a rollout: `proxies` with `rate` requests a second in all.
+fn play(seed: u64, version: Version, fault: Fault, proxies: usize, rate: f64) -> Outcome {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let mut registry = ProxyRegistry::default();
+    registry.set_leadership(Some(1));
+    let trial = |rng: &mut ChaCha8Rng| {
         Trial::new(
             "s".into(),
             1,
-            rate / counters as f64,
-            chance.gen_range(0.0..1.0),
+            rate / proxies as f64,
+            rng.gen_range(0.0..1.0),
         )
     };
-    let mut trials: Vec<Trial> = (0..counters).map(|_| trial(&mut chance)).collect();
-    for c in 0..counters {
-        assert!(roster.hello(0, c as u64, 1, &hello(c, seed + c as u64)));
+    let mut trials: Vec<Trial> = (0..proxies).map(|_| trial(&mut rng)).collect();
+    for c in 0..proxies {
+        assert!(registry.register(0, c as u64, 1, &hello(c, seed + c as u64)));
     }
-    let jury = |now| {
-        Jury::new(
+    let new_analysis = |now| {
+        RolloutAnalysis::new(
             0,
             WITHIN,
             Phase::Trial,
@@ -94,173 +94,177 @@
             if now == 0 { 0.0 } else { rate },
         )
     };
-    let (mut judge, mut phase, mut moved_at) = (jury(0), Phase::Trial, 0);
+    let (mut analysis, mut phase, mut decided_at) = (new_analysis(0), Phase::Trial, 0);
     let (mut exposed, mut requests) = (0.0, 0.0);
     let mut opened = false;
-    let (mut warm_since, mut lives) = (None, counters as u64);
-    // Outcomes on their way: when they are seen, by whom, what.
-    let mut flying: Vec<(Micros, usize, Seen)> = Vec::new();
+    let (mut warm_since, mut sessions) = (None, proxies as u64);
+    // Outcomes in flight: when they are seen, by whom, what.
+    let mut in_flight: Vec<(Micros, usize, AttemptOutcome)> = Vec::new();
     for now in (0..30_000 * MS).step_by(10_000) {
-        if trouble == Trouble::Leader && now == 7_000 * MS {
-            (judge, opened) = (jury(now), false);
-            roster.leads_in(None);
-            roster.leads_in(Some(1));
-            for c in 0..counters {
-                lives += 1;
-                assert!(roster.hello(now, lives, 1, &hello(c, seed + c as u64)));
+        if fault == Fault::LeaderChange && now == 7_000 * MS {
+            (analysis, opened) = (new_analysis(now), false);
+            registry.set_leadership(None);
+            registry.set_leadership(Some(1));
+            for c in 0..proxies {
+                sessions += 1;
+                assert!(registry.register(now, sessions, 1, &hello(c, seed + c as u64)));
             }
         }
-        if trouble == Trouble::Restarts && now == 7_000 * MS {
+        if fault == Fault::Restarts && now == 7_000 * MS {
             for (c, restarted) in trials.iter_mut().enumerate().filter(|(c, _)| c % 3 == 0) {
-                *restarted = trial(&mut chance);
-                assert!(roster.hello(now, c as u64, 1, &hello(c, seed + 1000 + c as u64)));
-                restarted.enter(judge.stage());
+                *restarted = trial(&mut rng);
+                assert!(registry.register(now, c as u64, 1, &hello(c, seed + 1000 + c as u64)));
+                restarted.enter(analysis.stage());
             }
         }
-        let listed = if now >= 1_200 * MS { 24 } else { 0 };
+        let ready_endpoints = if now >= 1_200 * MS { 24 } else { 0 };
         let cold = now < 4_500 * MS;
-        if listed > 0 && !cold {
+        if ready_endpoints > 0 && !cold {
             warm_since = warm_since.or(Some(now));
         }
-        // Requests: each counter's part of the rate, by chance.
+        // Requests: each proxy's part of the rate, by chance.
         for (c, trial) in trials.iter_mut().enumerate() {
-            if !chance.gen_bool(rate / counters as f64 * 0.01) {
+            if !rng.gen_bool(rate / proxies as f64 * 0.01) {
                 continue;
             }
             requests += 1.0;
-            trial.request();
-            let rare = chance.gen_bool(0.24);
+            trial.on_request();
+            let rare = rng.gen_bool(0.24);
             let to_trial = match phase {
-                Phase::Trial => trial.wants(!rare && trouble != Trouble::OrdersOnly),
-                Phase::Moving | Phase::Delivered => true,
-                Phase::Returned => false,
+                Phase::Trial => trial.prefers_trial(!rare && fault != Fault::NoIdempotentRequests),
+                Phase::Promoting | Phase::Completed => true,
+                Phase::RolledBack => false,
             };
             if to_trial {
-                trial.sent();
+                trial.on_trial_attempt();
                 exposed += f64::from(u8::from(now < WITHIN));
             }
-            let appliance = chance.gen_range(0..24);
+            let endpoint = rng.gen_range(0..24);
             let bad = to_trial
-                && chance.gen_bool(0.5)
-                && match build {
-                    Build::Good => false,
-                    Build::Fails | Build::Slow => true,
-                    Build::OneRoute => rare,
-                    Build::Late => now >= 4_500 * MS,
-                    Build::UnderLoad => phase == Phase::Moving || chance.gen_bool(0.04),
+                && rng.gen_bool(0.5)
+                && match version {
+                    Version::Good => false,
+                    Version::Fails | Version::Slow => true,
+                    Version::OneRoute => rare,
+                    Version::Late => now >= 4_500 * MS,
+                    Version::UnderLoad => phase == Phase::Promoting || rng.gen_bool(0.04),
                 };
-            let sick = trouble == Trouble::SickOnes && appliance % 8 == 0 && chance.gen_bool(0.7);
-            let failed = sick || (bad && build != Build::Slow) || chance.gen_bool(0.002);
-            let slow = (bad && build == Build::Slow) || chance.gen_bool(0.01);
-            let spent = (chance.gen_range(80..320) * if slow { 8 } else { 1 }) * MS;
-            let seen = Seen {
-                trial: to_trial,
+            let sick = fault == Fault::UnhealthyEndpoints && endpoint % 8 == 0 && rng.gen_bool(0.7);
+            let failed = sick || (bad && version != Version::Slow) || rng.gen_bool(0.002);
+            let slow = (bad && version == Version::Slow) || rng.gen_bool(0.01);
+            let elapsed = (rng.gen_range(80..320) * if slow { 8 } else { 1 }) * MS;
+            let outcome = AttemptOutcome {
+                on_trial: to_trial,
                 route: u64::from(rare),
-                appliance,
-                first: true,
-                end: if failed { End::Failed } else { End::Served },
-                in_time: !failed && spent <= 600 * MS,
-                cold: to_trial && cold,
-                spent,
+                endpoint,
+                is_first: true,
+                end: if failed {
+                    AttemptEnd::Failed
+                } else {
+                    AttemptEnd::Served
+                },
+                on_time: !failed && elapsed <= 600 * MS,
+                warming_up: to_trial && cold,
+                elapsed,
             };
-            flying.push((now + spent, c, seen));
+            in_flight.push((now + elapsed, c, outcome));
         }
-        flying.retain(|(at, c, seen)| {
+        in_flight.retain(|(at, c, outcome)| {
             let due = *at <= now;
             if due {
-                trials[*c].seen(*seen);
+                trials[*c].on_outcome(*outcome);
             }
             !due
         });
-        // Reports: twice a second, ten times while the service moves.
-        let every = if phase == Phase::Moving {
+        // Reports: twice a second, ten times during a promotion.
+        let every = if phase == Phase::Promoting {
             100 * MS
         } else {
             500 * MS
         };
         if now % every == 0 {
             for (c, trial) in trials.iter().enumerate() {
-                let link = if trouble == Trouble::Leader && now >= 7_000 * MS {
+                let session = if fault == Fault::LeaderChange && now >= 7_000 * MS {
                     None
                 } else {
                     Some(c as u64)
                 };
-                let link = link.unwrap_or_else(|| counters as u64 + 1 + c as u64);
-                let told = Evidence {
+                let session = session.unwrap_or_else(|| proxies as u64 + 1 + c as u64);
+                let evidence = TrialEvidence {
                     phase: Some(phase),
                     age: now,
                     ..trial.evidence()
                 };
-                roster.report(
+                registry.on_report(
                     now,
-                    link,
+                    session,
                     Report {
-                        edition: 1,
-                        evidence: vec![told],
+                        config_version: 1,
+                        evidence: vec![evidence],
                         ..Report::default()
                     },
                 );
             }
         }
         if now % (150 * MS) == 0 {
-            let pooled = roster.pooled("s", 1);
-            let leaving = roster.leaving(now, "s", 1);
-            match judge.look(Look {
+            let pooled = registry.pooled_evidence("s", 1);
+            let drain = registry.drain_progress(now, "s", 1);
+            match analysis.decide(Observation {
                 now,
                 pooled: &pooled,
-                listed,
+                ready_endpoints,
                 warm_since,
-                leaving,
-                away: 0,
+                drain,
+                away_proxies: 0,
             }) {
-                Step::None => {}
-                Step::Stage(stage) => {
+                Decision::Wait => {}
+                Decision::EnterStage(stage) => {
                     assert!(
-                        !(opened && stage.guarded),
-                        "seed {seed}: guarded again after {} ms",
+                        !(opened && stage.idempotent_only),
+                        "seed {seed}: restricted again after {} ms",
                         now / MS
                     );
-                    opened |= !stage.guarded;
+                    opened |= !stage.idempotent_only;
                     trials.iter_mut().for_each(|t| t.enter(stage));
                 }
-                Step::Advance(next) => {
-                    (phase, moved_at) = (next, now);
-                    judge.moved(now, next);
-                    if matches!(next, Phase::Delivered | Phase::Returned) {
+                Decision::Advance(next) => {
+                    (phase, decided_at) = (next, now);
+                    analysis.set_phase(now, next);
+                    if matches!(next, Phase::Completed | Phase::RolledBack) {
                         break;
                     }
                 }
             }
         }
     }
-    // The term ends after what is decided; its requests count.
-    requests += rate * (WITHIN.saturating_sub(moved_at) as f64 / 1e6);
+    // The time goes on after the decision; its requests count.
+    requests += rate * (WITHIN.saturating_sub(decided_at) as f64 / 1e6);
     Outcome {
         phase,
-        at: moved_at,
+        at: decided_at,
         exposed,
         requests,
-        account: judge.account(&roster.pooled("s", 1)),
+        summary: analysis.summary(&registry.pooled_evidence("s", 1)),
     }
 }
 
-/// Guards against a bad build that is carried, or met by more than the rules allow, whatever else happens.
+/// A bad version is rolled back, and meets no more requests than the rules allow, whatever else happens.
 #[rstest]
-fn a_bad_build_is_returned_within_its_exposure(
+fn a_bad_version_is_rolled_back_within_its_exposure(
     #[values(
-        Build::Fails,
-        Build::Slow,
-        Build::OneRoute,
-        Build::Late,
-        Build::UnderLoad
+        Version::Fails,
+        Version::Slow,
+        Version::OneRoute,
+        Version::Late,
+        Version::UnderLoad
     )]
-    build: Build,
-    #[values(Trouble::Calm, Trouble::Leader, Trouble::Restarts)] trouble: Trouble,
+    version: Version,
+    #[values(Fault::Calm, Fault::LeaderChange, Fault::Restarts)] fault: Fault,
     #[values((9, 110.0), (12, 250.0))] size: (usize, f64),
 ) {
     for seed in 0..12 {
-        let end = play(seed, build, trouble, size.0, size.1);
-        assert_eq!(end.phase, Phase::Returned, "seed {seed}: {}", end.account);
+        let end = play(seed, version, fault, size.0, size.1);
+        assert_eq!(end.phase, Phase::RolledBack, "seed {seed}: {}", end.summary);
         let most = SHARE * end.requests + SLACK;
         assert!(
             end.exposed <= most,
@@ -271,43 +275,55 @@
     }
 }
 
-/// Guards against a good build that is sent back, or comes too late, because something else fails.
+/// A good version is completed in time, whatever else fails.
 #[rstest]
-fn a_good_build_is_delivered_in_its_term(
-    #[values(Trouble::Calm, Trouble::Leader, Trouble::Restarts)] trouble: Trouble,
+fn a_good_version_is_completed_in_time(
+    #[values(Fault::Calm, Fault::LeaderChange, Fault::Restarts)] fault: Fault,
     #[values((9, 110.0), (12, 250.0))] size: (usize, f64),
 ) {
     for seed in 0..25 {
-        let end = play(seed, Build::Good, trouble, size.0, size.1);
-        assert_eq!(end.phase, Phase::Delivered, "seed {seed}: {}", end.account);
+        let end = play(seed, Version::Good, fault, size.0, size.1);
+        assert_eq!(end.phase, Phase::Completed, "seed {seed}: {}", end.summary);
         assert!(
             end.at < WITHIN,
-            "seed {seed}: delivered {} ms late",
+            "seed {seed}: completed {} ms late",
             (end.at - WITHIN) / 1000
         );
     }
 }
 
-/// Guards against a guarded stage that waits for requests which the service has not.
+/// The stage for idempotent requests does not wait for requests that the service does not have.
 #[rstest]
-fn a_service_of_orders_alone_is_moved_or_returned(
+fn a_service_without_idempotent_requests_is_decided_in_time(
     #[values((9, 28.0), (12, 60.0), (12, 250.0))] size: (usize, f64),
 ) {
     for seed in 0..25 {
-        let good = play(seed, Build::Good, Trouble::OrdersOnly, size.0, size.1);
+        let good = play(
+            seed,
+            Version::Good,
+            Fault::NoIdempotentRequests,
+            size.0,
+            size.1,
+        );
         assert_eq!(
             good.phase,
-            Phase::Delivered,
+            Phase::Completed,
             "seed {seed}: {}",
-            good.account
+            good.summary
         );
         assert!(
             good.at < WITHIN,
-            "seed {seed}: delivered {} ms late",
+            "seed {seed}: completed {} ms late",
             (good.at - WITHIN) / 1000
         );
-        let bad = play(seed, Build::Fails, Trouble::OrdersOnly, size.0, size.1);
-        assert_eq!(bad.phase, Phase::Returned, "seed {seed}: {}", bad.account);
+        let bad = play(
+            seed,
+            Version::Fails,
+            Fault::NoIdempotentRequests,
+            size.0,
+            size.1,
+        );
+        assert_eq!(bad.phase, Phase::RolledBack, "seed {seed}: {}", bad.summary);
         let most = SHARE * bad.requests + SLACK;
         assert!(
             bad.exposed <= most,
@@ -318,14 +334,15 @@
     }
 }
 
-/// Guards against a few sick appliances that condemn a build: they fail in both.
+/// Guards against a few sick appliances that condemn a version: they fail in both.
 #[test]
 fn sick_appliances_of_both_builds_condemn_neither() {
-    let mut delivered = 0;
+    let mut completed = 0;
     for seed in 0..10 {
-        delivered += usize::from(
-            play(seed, Build::Good, Trouble::SickOnes, 9, 110.0).phase == Phase::Delivered,
+        completed += usize::from(
+            play(seed, Version::Good, Fault::UnhealthyEndpoints, 9, 110.0).phase
+                == Phase::Completed,
         );
     }
-    assert!(delivered >= 9, "{delivered} of 10");
+    assert!(completed >= 9, "{completed} of 10");
 }
--- a/tools/proxy-simulation/src/play.rs
+++ b/tools/proxy-simulation/src/play.rs
@@ -1,14 +1,14 @@
-//! One play: a counter, its clients and appliances, what changes meanwhile, and what is checked at the end.
+//! One play: a proxy, its clients and appliances, what changes meanwhile, and what is checked at the end.
 
 use crate::appliance::{self, Mood};
 use crate::book::{Book, InForce, Listing, Micros, Noted, Pages};
 use crate::stream::{pair, End};
 use crate::{client, dice, Dice, GRACE};
-use magpieline_config::node_settings::Machine;
-use magpieline_control_plane::messages::{Entry, Listing as Told, State};
-use magpieline_control_plane::state_machine::{Kept, Standing};
-use magpieline_gateway::proxy::connect::{Dial, Stream};
-use magpieline_gateway::proxy::{request_handler, swept, Counter};
+use magpieline_config::node_settings::NodeSettings;
+use magpieline_control_plane::messages::{Endpoint, EndpointState, EndpointUpdate};
+use magpieline_control_plane::state_machine::{ServiceState, StoredConfig};
+use magpieline_gateway::proxy::connector::{Connector, Stream};
+use magpieline_gateway::proxy::{close_idle_connections, listener, Proxy};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -17,10 +17,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-const MACHINE: &str = r#"
+const SETTINGS: &str = r#"
 [self]
 node = "n-1"
-machine_class = "counter"
+machine_class = "proxy"
 ip = "127.0.0.1"
 zone = "a"
 region = "r"
@@ -38,7 +38,7 @@
 
 /// By an edition that is no longer in force nothing is sent later than this: less than any guarantee.
 const OVERTAKEN: Micros = 2_000;
-/// A configuration is known to clients so long before the counter, at most: the guarantee, less some room.
+/// A configuration is known to clients so long before the proxy, at most: the guarantee, less some room.
 const BEHIND: u64 = 950;
 
 /// A play's parts that its clients need.
@@ -47,13 +47,13 @@
     pub calm: bool,
     pub late: u32,
     pub give_up: Micros,
-    counter: Arc<Counter>,
+    proxy: Arc<Proxy>,
     served: Mutex<Vec<JoinHandle<()>>>,
 }
 
 impl World {
     pub fn leaving(&self) -> bool {
-        self.counter.leaving()
+        self.proxy.is_shutting_down()
     }
 
     /// How long a connection may rest, as its client knows.
@@ -63,7 +63,7 @@
 
     /// A client has connected.
     pub fn serve(&self, far: End) {
-        let task = tokio::spawn(request_handler::connection(self.counter.clone(), far));
+        let task = tokio::spawn(listener::serve_connection(self.proxy.clone(), far));
         self.served
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -132,7 +132,7 @@
     )
 }
 
-async fn change(counter: &Counter, book: &Book, number: u64, give_up: u64, dice: &mut Dice) {
+async fn change(proxy: &Proxy, book: &Book, number: u64, give_up: u64, dice: &mut Dice) {
     let service = |dice: &mut Dice| if dice.gen() { "s" } else { "t" };
     let (safe, once, idle) = (
         service(dice),
@@ -145,8 +145,8 @@
     if number > 1 {
         sleep(Duration::from_millis(dice.gen_range(0..BEHIND))).await;
     }
-    counter.take_edition(&Kept {
-        number,
+    proxy.apply_config(&StoredConfig {
+        version: number,
         text: edition(number, safe, once, give_up, idle).into(),
     });
     let at = book.now();
@@ -162,15 +162,15 @@
     ["v2", "v1"][address.ip().octets()[3] as usize % 2]
 }
 
-fn entry(service: &str, address: SocketAddrV4, state: State) -> Entry {
-    Entry {
+fn endpoint(service: &str, address: SocketAddrV4, state: EndpointState) -> Endpoint {
+    Endpoint {
         service: service.into(),
         address,
         zone: "a".into(),
         version: version(address).into(),
-        berths: 30,
+        concurrency: 30,
         state,
-        cold: 0,
+        warmup_left: 0,
     }
 }
 
@@ -178,15 +178,22 @@
     SocketAddrV4::new([10, 0, 0, place].into(), 80)
 }
 
-/// Tells the counter of one appliance: an open one, a closing one, or that it is gone.
-fn tell(counter: &Counter, book: &Book, id: &str, service: &str, place: u8, state: Option<State>) {
+/// Tells the proxy of one appliance: an open one, a closing one, or that it is gone.
+fn tell(
+    proxy: &Proxy,
+    book: &Book,
+    id: &str,
+    service: &str,
+    place: u8,
+    state: Option<EndpointState>,
+) {
     let entries = vec![(
         id.into(),
-        state.map(|state| entry(service, address(place), state)),
+        state.map(|state| endpoint(service, address(place), state)),
     )];
     {
         let mut pages = book.open();
-        let open = state == Some(State::Ready);
+        let open = state == Some(EndpointState::Ready);
         if open {
             pages.there.insert(address(place), id.into());
         }
@@ -202,14 +209,14 @@
             _ => drop(pages.listed.insert(address(place), new)),
         }
     }
-    counter.take_listing(&Told {
-        whole: false,
-        entries,
+    proxy.apply_endpoints(&EndpointUpdate {
+        is_full: false,
+        endpoints: entries,
     });
 }
 
 /// The list changes: appliances close, are gone, and others take their places, at new addresses or theirs.
-async fn lists(counter: Arc<Counter>, book: Book, mut dice: Dice) {
+async fn lists(proxy: Arc<Proxy>, book: Book, mut dice: Dice) {
     // Two of each service; those in the places 1 and 3 stay.
     let mut born = 10;
     let mut now: Vec<(String, &str, u8)> = vec![("i-2".into(), "s", 2), ("i-4".into(), "t", 4)];
@@ -218,7 +225,14 @@
         let at = dice.gen_range(0..now.len());
         let (id, service, place) = now[at].clone();
         if dice.gen() {
-            tell(&counter, &book, &id, service, place, Some(State::Closing));
+            tell(
+                &proxy,
+                &book,
+                &id,
+                service,
+                place,
+                Some(EndpointState::Draining),
+            );
             sleep(Duration::from_millis(dice.gen_range(0..200))).await;
         }
         born += 1;
@@ -229,25 +243,32 @@
                 .insert(address(place), format!("i-{born}"));
             sleep(Duration::from_millis(dice.gen_range(0..200))).await;
         }
-        tell(&counter, &book, &id, service, place, None);
+        tell(&proxy, &book, &id, service, place, None);
         let new = (
             format!("i-{born}"),
             if service == "s" { "t" } else { "s" },
             if dice.gen() { place } else { born },
         );
-        tell(&counter, &book, &new.0, new.1, new.2, Some(State::Ready));
+        tell(
+            &proxy,
+            &book,
+            &new.0,
+            new.1,
+            new.2,
+            Some(EndpointState::Ready),
+        );
         book.met("appliance replaced");
         now[at] = new;
     }
 }
 
-fn dial(book: Book, plot: Plot, seed: u64) -> Dial {
+fn dial(book: Book, plot: Plot, seed: u64) -> Connector {
     let chance = Arc::new(Mutex::new(dice(seed)));
     Arc::new(move |to, within| {
         let mut dice = dice(chance.lock().unwrap_or_else(PoisonError::into_inner).gen());
         let book = book.clone();
         Box::pin(async move {
-            // Whom the counter means is who is listed there when it begins.
+            // Whom the proxy means is who is listed there when it begins.
             let listed = book.open().listed.get(&to).cloned();
             let dark = plot.dark > 0 && dice.gen_ratio(1, plot.dark);
             if dark && dice.gen() {
@@ -300,7 +321,7 @@
 }
 
 /// Services move from one version to another and back.
-async fn moves(counter: Arc<Counter>, book: Book, mut dice: Dice) {
+async fn moves(proxy: Arc<Proxy>, book: Book, mut dice: Dice) {
     loop {
         sleep(Duration::from_millis(dice.gen_range(1..300))).await;
         let service = if dice.gen() { "s" } else { "t" };
@@ -309,11 +330,11 @@
         book.open()
             .stands
             .insert(service.into(), (to.into(), since));
-        counter.take_standings(vec![(
+        proxy.apply_services(vec![(
             service.into(),
-            Standing {
+            ServiceState {
                 version: Some(to.into()),
-                ..Standing::default()
+                ..ServiceState::default()
             },
         )]);
         book.met("version changed");
@@ -342,9 +363,9 @@
     let mut chance = dice(seed);
     let plot = plot(&mut chance, seed.is_multiple_of(2));
     let book = Book::new();
-    let machine = Arc::new(Machine::read(MACHINE).expect("sound settings"));
+    let machine = Arc::new(NodeSettings::parse(SETTINGS).expect("sound settings"));
     let held = tokio::sync::watch::channel(machine);
-    let counter = Arc::new(Counter::new(
+    let proxy = Arc::new(Proxy::new(
         held.1,
         seed,
         dial(book.clone(), plot, chance.gen()),
@@ -354,53 +375,53 @@
     } else {
         [300, 1_500, 4_000][chance.gen_range(0..3)]
     };
-    change(&counter, &book, 1, give_up, &mut chance).await;
+    change(&proxy, &book, 1, give_up, &mut chance).await;
     for (place, service) in [(1, "s"), (2, "s"), (3, "t"), (4, "t")] {
         tell(
-            &counter,
+            &proxy,
             &book,
             &format!("i-{place}"),
             service,
             place,
-            Some(State::Ready),
+            Some(EndpointState::Ready),
         );
     }
-    counter.confirmed();
-    counter.heard_counters(1);
-    counter.confirmed();
-    let mut beside = vec![tokio::spawn(swept(counter.clone()))];
+    proxy.on_confirmed();
+    proxy.set_proxies(1);
+    proxy.on_confirmed();
+    let mut beside = vec![tokio::spawn(close_idle_connections(proxy.clone()))];
     if versions && !plot.calm {
         beside.push(tokio::spawn(moves(
-            counter.clone(),
+            proxy.clone(),
             book.clone(),
             dice(!seed),
         )));
     }
     if plot.lists {
         beside.push(tokio::spawn(lists(
-            counter.clone(),
+            proxy.clone(),
             book.clone(),
             dice(chance.gen()),
         )));
     }
     if plot.changes {
-        let (counter, book, mut dice) = (counter.clone(), book.clone(), dice(chance.gen()));
+        let (proxy, book, mut dice) = (proxy.clone(), book.clone(), dice(chance.gen()));
         beside.push(tokio::spawn(async move {
             for number in 2.. {
                 sleep(Duration::from_millis(dice.gen_range(1..1_500))).await;
-                change(&counter, &book, number * 3, give_up, &mut dice).await;
+                change(&proxy, &book, number * 3, give_up, &mut dice).await;
                 book.met("edition changed");
             }
         }));
     }
     if let Some(at) = plot.leaves {
-        let (counter, book) = (counter.clone(), book.clone());
+        let (proxy, book) = (proxy.clone(), book.clone());
         beside.push(tokio::spawn(async move {
             sleep(Duration::from_millis(at)).await;
             let now = book.now();
             book.open().leaves = Some(now);
             book.met("SIGTERM");
-            counter.leave();
+            proxy.shut_down();
         }));
     }
     let world = Arc::new(World {
@@ -408,7 +429,7 @@
         calm: plot.calm,
         late: plot.late,
         give_up: give_up * 1000,
-        counter: counter.clone(),
+        proxy: proxy.clone(),
         served: Mutex::default(),
     });
     let clients: Vec<JoinHandle<()>> = (0..plot.clients)
@@ -428,10 +449,10 @@
         }
     }
     if plot.leaves.is_some() {
-        if !counter.leaving() {
-            counter.leave();
+        if !proxy.is_shutting_down() {
+            proxy.shut_down();
         }
-        counter.settled().await;
+        proxy.drained().await;
         let now = book.now();
         let mut pages = book.open();
         let early = pages.leaves.is_some_and(|l| now < l + GRACE / 2);
--- a/tools/raft-simulation/src/lib.rs
+++ b/tools/raft-simulation/src/lib.rs
@@ -19,7 +19,7 @@
 pub use cluster::{Call, Cluster, ClusterConfig, Observation, RunTotals, SimulatedNode};
 pub use fault_injection::{Fault, FaultInjector};
 pub use long_run::{Disruption, LongRun, LongRunConfig, LongRunSummary};
-pub use operator_node::{Answer, Asked, OperatorNode};
+pub use operator_node::{OperatorNode, OperatorRequest, OperatorResponse};
 pub use operator_workload::{OperatorWorkload, WorkloadTotals};
 pub use simulator::{
     address, BootOptions, DiskFault, Effect, Input, NetworkProfile, Observer, Process, Simulator,
--- a/tools/raft-simulation/src/linearizability.rs
+++ b/tools/raft-simulation/src/linearizability.rs
@@ -9,25 +9,25 @@
 /// A call as its caller saw it. Times are the caller's, in microseconds.
 #[derive(Clone, Debug)]
 pub struct RecordedCall<Q, A> {
-    pub asked: Q,
+    pub request: Q,
     pub sent: u64,
     /// When the answer came, and what it was. None: lost, or unclear; it may have been done then, later, or never.
-    pub back: Option<(u64, A)>,
+    pub response: Option<(u64, A)>,
 }
 
 /// What a machine may do that does one thing at a time.
 pub trait Model {
     type State: Clone + Eq + Hash + Debug;
-    type Asked: Debug;
-    type Answer: Debug;
+    type Request: Debug;
+    type Response: Debug;
     fn start(&self) -> Self::State;
     /// The state after a call that is answered so; None where it can't be. Without an answer: after it is done, which it
     /// can be once only: a second time changes nothing.
     fn step(
         &self,
         state: &Self::State,
-        asked: &Self::Asked,
-        answer: Option<&Self::Answer>,
+        request: &Self::Request,
+        answer: Option<&Self::Response>,
     ) -> Option<Self::State>;
     /// States that it may go to by itself.
     fn drift(&self, state: &Self::State) -> Vec<Self::State>;
@@ -35,9 +35,9 @@
     /// one. What explains only what comes later can be done later, too; unless it can't be done then any more.
     fn explains(
         &self,
-        unanswered: &Self::Asked,
-        other: &Self::Asked,
-        answer: &Self::Answer,
+        unanswered: &Self::Request,
+        other: &Self::Request,
+        answer: &Self::Response,
         soon: bool,
     ) -> bool;
 }
@@ -47,7 +47,7 @@
 
 struct Search<'a, M: Model> {
     model: &'a M,
-    calls: &'a [RecordedCall<M::Asked, M::Answer>],
+    calls: &'a [RecordedCall<M::Request, M::Response>],
     /// Answered calls that are done, and the state: looked at before.
     known: HashSet<(Vec<u64>, M::State)>,
     looks: usize,
@@ -59,10 +59,10 @@
 /// explained where there is none.
 pub fn check<M: Model>(
     model: &M,
-    calls: &[RecordedCall<M::Asked, M::Answer>],
+    calls: &[RecordedCall<M::Request, M::Response>],
 ) -> Result<(), String> {
     let mut calls_in_order: Vec<usize> = (0..calls.len()).collect();
-    calls_in_order.sort_by_key(|i| calls[*i].back.as_ref().map_or(u64::MAX, |(at, _)| *at));
+    calls_in_order.sort_by_key(|i| calls[*i].response.as_ref().map_or(u64::MAX, |(at, _)| *at));
     let mut search = Search {
         model,
         calls,
@@ -77,7 +77,7 @@
     let (count, done, state) = search.best;
     let open = calls_in_order
         .iter()
-        .filter(|i| !has(&done, **i) && calls[**i].back.is_some())
+        .filter(|i| !has(&done, **i) && calls[**i].response.is_some())
         .take(3);
     let open: Vec<String> = open.map(|i| format!("{:?}", calls[*i])).collect();
     let given_up = if search.looks >= MOST_LOOKS {
@@ -116,15 +116,18 @@
         // What changes nothing and may be answered so now is done now: nothing is lost by that.
         let open = loop {
             let open: Vec<usize> = order.iter().copied().filter(|i| !has(&done, *i)).collect();
-            let Some((first_back, _)) = open.first().and_then(|i| self.calls[*i].back.as_ref())
+            let Some((first_back, _)) = open.first().and_then(|i| self.calls[*i].response.as_ref())
             else {
                 return true;
             };
             let may = |i: &&usize| self.calls[**i].sent <= *first_back;
             let idle = |i: &&usize| {
                 let call = &self.calls[**i];
-                call.back.as_ref().is_some_and(|(_, answer)| {
-                    self.model.step(&state, &call.asked, Some(answer)).as_ref() == Some(&state)
+                call.response.as_ref().is_some_and(|(_, answer)| {
+                    self.model
+                        .step(&state, &call.request, Some(answer))
+                        .as_ref()
+                        == Some(&state)
                 })
             };
             let idle: Vec<usize> = open.iter().filter(may).filter(idle).copied().collect();
@@ -143,11 +146,11 @@
         let (answered, unanswered): (Vec<usize>, Vec<usize>) = open
             .iter()
             .copied()
-            .partition(|i| self.calls[*i].back.is_some());
+            .partition(|i| self.calls[*i].response.is_some());
         for i in answered {
             let call = &self.calls[i];
-            let answer = call.back.as_ref().map(|(_, answer)| answer);
-            if let Some(next) = self.model.step(&state, &call.asked, answer) {
+            let answer = call.response.as_ref().map(|(_, answer)| answer);
+            if let Some(next) = self.model.step(&state, &call.request, answer) {
                 if self.explain(order, with(done.clone(), i), next, count + 1) {
                     return true;
                 }
@@ -159,17 +162,20 @@
             }
         }
         for i in unanswered {
-            let asked = &self.calls[i].asked;
+            let request = &self.calls[i].request;
             let wanted = order.iter().filter(|j| !has(&done, **j)).any(|j| {
                 let RecordedCall {
-                    asked: other, back, ..
+                    request: other,
+                    response,
+                    ..
                 } = &self.calls[*j];
-                back.as_ref().is_some_and(|(_, answer)| {
-                    self.model.explains(asked, other, answer, open.contains(j))
+                response.as_ref().is_some_and(|(_, answer)| {
+                    self.model
+                        .explains(request, other, answer, open.contains(j))
                 })
             });
             let next = if wanted {
-                self.model.step(&state, asked, None)
+                self.model.step(&state, request, None)
             } else {
                 None
             };
@@ -184,28 +190,28 @@
     }
 }
 
-/// Configurations: the highest number holds; under a number the first document that is taken.
-pub struct Documents;
+/// Configurations: the highest version holds; under a version the first document that is taken.
+pub struct ConfigModel;
 
-/// A document is named by a number of the history's own.
+/// A document is named by a version of the history's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DocumentAsked {
-    Replace { number: u64, document: u64 },
+pub enum ConfigRequest {
+    Replace { version: u64, document: u64 },
     Read,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DocumentAnswer {
-    Taken,
-    Refused,
-    Held(Option<(u64, u64)>),
+pub enum ConfigResponse {
+    Accepted,
+    Conflict,
+    Current(Option<(u64, u64)>),
 }
 
-/// Documents by number, in order; the last one is in force.
-impl Model for Documents {
+/// ConfigModel by version, in order; the last one is in force.
+impl Model for ConfigModel {
     type State = Vec<(u64, u64)>;
-    type Asked = DocumentAsked;
-    type Answer = DocumentAnswer;
+    type Request = ConfigRequest;
+    type Response = ConfigResponse;
 
     fn start(&self) -> Self::State {
         Vec::new()
@@ -214,24 +220,24 @@
     fn step(
         &self,
         state: &Self::State,
-        asked: &DocumentAsked,
-        answer: Option<&DocumentAnswer>,
+        request: &ConfigRequest,
+        answer: Option<&ConfigResponse>,
     ) -> Option<Self::State> {
-        let DocumentAsked::Replace { number, document } = *asked else {
-            let fits =
-                answer.is_none_or(|answer| *answer == DocumentAnswer::Held(state.last().copied()));
+        let ConfigRequest::Replace { version, document } = *request else {
+            let fits = answer
+                .is_none_or(|answer| *answer == ConfigResponse::Current(state.last().copied()));
             return fits.then(|| state.clone());
         };
-        let known = state.binary_search_by_key(&number, |(n, _)| *n);
+        let known = state.binary_search_by_key(&version, |(n, _)| *n);
         let taken = known.map_or(true, |at| state[at].1 == document);
         match (answer, known) {
-            (Some(DocumentAnswer::Taken), _) if !taken => None,
-            (Some(DocumentAnswer::Refused), _) if taken => None,
-            (Some(DocumentAnswer::Held(_)), _) => None,
+            (Some(ConfigResponse::Accepted), _) if !taken => None,
+            (Some(ConfigResponse::Conflict), _) if taken => None,
+            (Some(ConfigResponse::Current(_)), _) => None,
             (_, Ok(_)) => Some(state.clone()),
             (_, Err(at)) => {
                 let mut next = state.clone();
-                next.insert(at, (number, document));
+                next.insert(at, (version, document));
                 Some(next)
             }
         }
@@ -243,68 +249,70 @@
 
     fn explains(
         &self,
-        unanswered: &DocumentAsked,
-        other: &DocumentAsked,
-        answer: &DocumentAnswer,
+        unanswered: &ConfigRequest,
+        other: &ConfigRequest,
+        answer: &ConfigResponse,
         soon: bool,
     ) -> bool {
-        let DocumentAsked::Replace { number, document } = *unanswered else {
+        let ConfigRequest::Replace { version, document } = *unanswered else {
             return false;
         };
         match (other, answer) {
             _ if !soon => false,
-            (DocumentAsked::Read, DocumentAnswer::Held(held)) => *held == Some((number, document)),
+            (ConfigRequest::Read, ConfigResponse::Current(held)) => {
+                *held == Some((version, document))
+            }
             (
-                DocumentAsked::Replace {
-                    number: n,
+                ConfigRequest::Replace {
+                    version: n,
                     document: d,
                 },
-                DocumentAnswer::Refused,
-            ) => *n == number && *d != document,
+                ConfigResponse::Conflict,
+            ) => *n == version && *d != document,
             _ => false,
         }
     }
 }
 
-/// Rollouts of one service: one at a time, each order once. Calls with one `order` are copies of it.
-pub struct Rollouts;
+/// RolloutModel of one service: one at a time, each order once. Calls with one `order` are copies of it.
+pub struct RolloutModel;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RolloutAsked {
+pub enum RolloutRequest {
     /// `content` names version and term.
     Begin {
         order: u64,
         content: u64,
     },
-    State,
+    Read,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Fate {
-    UnderWay,
-    Delivered,
-    Returned,
+pub enum RolloutStatus {
+    Active,
+    Completed,
+    RolledBack,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RolloutAnswer {
-    Taken,
-    Refused,
+pub enum RolloutResponse {
+    Accepted,
+    Conflict,
     /// The newest one's content, and how far it is.
-    Newest(Option<(u64, Fate)>),
+    Newest(Option<(u64, RolloutStatus)>),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Service {
     taken: Vec<u64>,
-    newest: Option<(u64, Fate)>,
-    stands: Option<u64>,
+    newest: Option<(u64, RolloutStatus)>,
+    current_version: Option<u64>,
 }
 
-impl Model for Rollouts {
+impl Model for RolloutModel {
     type State = Service;
-    type Asked = RolloutAsked;
-    type Answer = RolloutAnswer;
+    type Request = RolloutRequest;
+    type Response = RolloutResponse;
 
     fn start(&self) -> Service {
         Service::default()
@@ -313,31 +321,31 @@
     fn step(
         &self,
         state: &Service,
-        asked: &RolloutAsked,
-        answer: Option<&RolloutAnswer>,
+        request: &RolloutRequest,
+        answer: Option<&RolloutResponse>,
     ) -> Option<Service> {
-        let RolloutAsked::Begin { order, content } = *asked else {
-            let fits = answer.is_none_or(|answer| *answer == RolloutAnswer::Newest(state.newest));
+        let RolloutRequest::Begin { order, content } = *request else {
+            let fits = answer.is_none_or(|answer| *answer == RolloutResponse::Newest(state.newest));
             return fits.then(|| state.clone());
         };
-        let under_way = state
+        let active = state
             .newest
-            .filter(|(_, fate)| *fate == Fate::UnderWay)
+            .filter(|(_, status)| *status == RolloutStatus::Active)
             .map(|(content, _)| content);
-        let other = under_way.is_some_and(|other| other != content);
+        let other = active.is_some_and(|other| other != content);
         let known = state.taken.binary_search(&order);
         match (answer, known) {
-            (Some(RolloutAnswer::Newest(_)), _) => None,
-            (Some(RolloutAnswer::Refused), Err(_)) if other => Some(state.clone()),
-            (Some(RolloutAnswer::Refused), _) => None,
+            (Some(RolloutResponse::Newest(_)), _) => None,
+            (Some(RolloutResponse::Conflict), Err(_)) if other => Some(state.clone()),
+            (Some(RolloutResponse::Conflict), _) => None,
             (_, Ok(_)) => Some(state.clone()),
-            (Some(RolloutAnswer::Taken), Err(_)) if other => None,
+            (Some(RolloutResponse::Accepted), Err(_)) if other => None,
             (None, Err(_)) if other => Some(state.clone()),
             (_, Err(at)) => {
                 let mut next = state.clone();
                 next.taken.insert(at, order);
-                if under_way.is_none() && state.stands != Some(content) {
-                    next.newest = Some((content, Fate::UnderWay));
+                if active.is_none() && state.current_version != Some(content) {
+                    next.newest = Some((content, RolloutStatus::Active));
                 }
                 Some(next)
             }
@@ -345,17 +353,17 @@
     }
 
     fn drift(&self, state: &Service) -> Vec<Service> {
-        let Some((content, Fate::UnderWay)) = state.newest else {
+        let Some((content, RolloutStatus::Active)) = state.newest else {
             return Vec::new();
         };
         let returned = Service {
-            newest: Some((content, Fate::Returned)),
+            newest: Some((content, RolloutStatus::RolledBack)),
             ..state.clone()
         };
-        let newest = Some((content, Fate::Delivered));
+        let newest = Some((content, RolloutStatus::Completed));
         let delivered = Service {
             newest,
-            stands: Some(content),
+            current_version: Some(content),
             ..state.clone()
         };
         vec![returned, delivered]
@@ -363,22 +371,22 @@
 
     fn explains(
         &self,
-        unanswered: &RolloutAsked,
-        other: &RolloutAsked,
-        answer: &RolloutAnswer,
+        unanswered: &RolloutRequest,
+        other: &RolloutRequest,
+        answer: &RolloutResponse,
         soon: bool,
     ) -> bool {
-        let RolloutAsked::Begin { content, .. } = *unanswered else {
+        let RolloutRequest::Begin { content, .. } = *unanswered else {
             return false;
         };
         match (other, answer) {
             // When a copy comes, or the version is ordered anew, another rollout may be under way, or have been.
-            (RolloutAsked::Begin { content: c, .. }, RolloutAnswer::Taken) => *c == content,
+            (RolloutRequest::Begin { content: c, .. }, RolloutResponse::Accepted) => *c == content,
             _ if !soon => false,
-            (RolloutAsked::State, RolloutAnswer::Newest(newest)) => {
+            (RolloutRequest::Read, RolloutResponse::Newest(newest)) => {
                 newest.is_some_and(|(shown, _)| shown == content)
             }
-            (RolloutAsked::Begin { content: c, .. }, RolloutAnswer::Refused) => *c != content,
+            (RolloutRequest::Begin { content: c, .. }, RolloutResponse::Conflict) => *c != content,
             _ => false,
         }
     }
--- a/tools/raft-simulation/src/long_run.rs
+++ b/tools/raft-simulation/src/long_run.rs
@@ -8,7 +8,7 @@
     address, BootOptions, DiskFault, Effect, Input, Micros, NetworkProfile, Observer, Process,
     Simulator, MILLI, SECOND,
 };
-use magpieline_control_plane::state_machine::{Command, Kept, Records};
+use magpieline_control_plane::state_machine::{Command, ControlState, StoredConfig};
 use magpieline_raft::{
     Action, Config, Envelope, Event, Index, NodeId, Outcome, PersistentState, RaftNode, Role, Term,
     WriteBatch,
@@ -184,7 +184,7 @@
 /// A sorting machine without its sockets.
 pub struct StoreNode {
     core: RaftNode,
-    records: Records,
+    records: ControlState,
     /// The state is that of this place in the log.
     index: Index,
     /// Compacts by chance, beside when it is wanted.
@@ -228,7 +228,7 @@
         &self.core
     }
 
-    pub fn records(&self) -> &Records {
+    pub fn records(&self) -> &ControlState {
         &self.records
     }
 
@@ -245,7 +245,7 @@
                 },
                 Action::Apply { index, command } => {
                     self.records
-                        .apply(index, &Command::unpack(&command).expect("readable"));
+                        .apply(index, &Command::decode(&command).expect("readable"));
                     self.index = index;
                     Effect::Observation(Observation::Applied {
                         index,
@@ -253,11 +253,11 @@
                     })
                 }
                 Action::Restore { index, state } => {
-                    self.records = Records::unpack(&state).expect("readable");
+                    self.records = ControlState::decode(&state).expect("readable");
                     self.index = index;
                     Effect::Observation(Observation::State {
                         index,
-                        state: hash(&self.records.pack()),
+                        state: hash(&self.records.encode()),
                     })
                 }
                 Action::Complete {
@@ -309,7 +309,7 @@
         );
         let mut node = StoreNode {
             core,
-            records: Records::default(),
+            records: ControlState::default(),
             index: 0,
             rng,
         };
@@ -344,7 +344,7 @@
         while self.core.should_compact() || (by_chance && compactions == 0 && self.index > 0) {
             compactions += 1;
             assert!(compactions < 3, "a compaction is wanted again and again");
-            let state = self.records.pack();
+            let state = self.records.encode();
             effects.push(Effect::Observation(Observation::State {
                 index: self.index,
                 state: hash(&state),
@@ -592,7 +592,12 @@
         else {
             return false;
         };
-        let held = |node: &StoreNode| node.records.edition.as_ref().map_or(0, |kept| kept.number);
+        let held = |node: &StoreNode| {
+            node.records
+                .config
+                .as_ref()
+                .map_or(0, |config| config.version)
+        };
         // A node_id counts once the list that has it is in force: until then the machine is one of those that are lost.
         let votes =
             led.core.voters().contains(&node.core.id()) && led.core.previous_voters().is_none();
@@ -614,8 +619,8 @@
             "{{\"edition\":{number},\"regulations\":[{}]}}",
             self.routes.join(",")
         );
-        Command::Replace(Kept {
-            number,
+        Command::ReplaceConfig(StoredConfig {
+            version: number,
             text: text.into(),
         })
     }
@@ -640,15 +645,15 @@
         };
         let Some(leader) = self.leader() else { return };
         let command = self.document();
-        let Command::Replace(kept) = &command else {
+        let Command::ReplaceConfig(config) = &command else {
             return;
         };
         self.request_ids += 1;
-        self.checks.asked.insert(self.request_ids, kept.number);
+        self.checks.asked.insert(self.request_ids, config.version);
         self.asking = Some((self.request_ids, begun, now));
         let call = Call::Propose {
             request_id: self.request_ids,
-            command: command.pack(),
+            command: command.encode(),
         };
         self.simulator.call(leader, call, &mut self.checks);
     }
@@ -775,13 +780,13 @@
         let states: BTreeSet<u64> = machines
             .clone()
             .filter_map(|m| self.simulator.node(m))
-            .map(|k| hash(&k.records.pack()))
+            .map(|k| hash(&k.records.encode()))
             .collect();
         assert_eq!(states.len(), 1, "states differ");
         let held = machines
             .clone()
-            .filter_map(|m| self.simulator.node(m)?.records.edition.clone());
-        let numbers: BTreeSet<u64> = held.map(|kept| kept.number).collect();
+            .filter_map(|m| self.simulator.node(m)?.records.config.clone());
+        let numbers: BTreeSet<u64> = held.map(|config| config.version).collect();
         assert!(
             numbers.first() >= Some(&self.checks.number),
             "{numbers:?}, {} acknowledged",
@@ -812,7 +817,7 @@
                 core.commit_index(),
                 core.applied_index(),
                 core.durable_index(),
-                records.edition.as_ref().map(|kept| kept.number),
+                records.config.as_ref().map(|config| config.version),
                 core.voters(),
                 core.peers()
             ),
--- a/tools/raft-simulation/src/main.rs
+++ b/tools/raft-simulation/src/main.rs
@@ -225,7 +225,7 @@
 fn call(run: &Run) -> ExitCode {
     let total = Mutex::new(WorkloadTotals::default());
     let failed = each_seed(run, "operators", |seed| {
-        let called = OperatorWorkload::open(seed, run.machines).play(run.steps);
+        let called = OperatorWorkload::new(seed, run.machines).run(run.steps);
         total.lock().expect("not poisoned").add(&called);
     });
     ended(run, failed, &total.into_inner().expect("not poisoned"))
--- a/tools/raft-simulation/src/operator_node.rs
+++ b/tools/raft-simulation/src/operator_node.rs
@@ -1,9 +1,9 @@
-//! A sorting machine as operators meet it: its core, the records agreed on, and the calls in hand, which it answers as
-//! the program's `sorting/control.rs` does.
+//! A controller as operators meet it: its Raft node, the state agreed on, and the calls in progress, which it answers as the
+//! gateway's `controller/operator_api.rs` does.
 
 use crate::{BootOptions, Effect, Input, Micros, Process, MILLI, SECOND};
-use magpieline_control_plane::deduplication::{Digest, Witness};
-use magpieline_control_plane::state_machine::{self, Command, Kept, Phase, Records};
+use magpieline_control_plane::deduplication::{AcceptanceClock, Arrival, Digest, OrderContent};
+use magpieline_control_plane::state_machine::{self, Command, ControlState, Phase, StoredConfig};
 use magpieline_raft::{
     Action, Config, Envelope, Event, Index, Outcome, PersistentState, RaftNode, WriteBatch,
 };
@@ -11,131 +11,190 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// For how long an order may be sent again, as the machines' settings say.
+/// How long an order may be repeated, as the settings say.
 pub const RECEIPT: Micros = 5 * SECOND;
-/// A call is answered within this, and tried again so much later while nothing was done.
-const PATIENCE: Micros = 800 * MILLI;
-const AGAIN: Micros = 20 * MILLI;
+/// A call is answered within this,
+const CALL_TIMEOUT: Micros = 800 * MILLI;
+/// and submitted again so much later while nothing was done.
+const RETRY_INTERVAL: Micros = 20 * MILLI;
 /// A snapshot after so many commands: small logs try more.
-const COMPACT_AFTER: u64 = 40;
+const COMMANDS_PER_SNAPSHOT: u64 = 40;
 
-/// What operators ask.
+/// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
-    Replace {
-        number: u64,
+pub enum OperatorRequest {
+    /// Replaces the configuration.
+    ReplaceConfig {
+        /// The version of the new one.
+        version: u64,
+        /// Its text.
         text: Arc<str>,
     },
-    Read,
-    Begin {
+    /// Reads the configuration.
+    ReadConfig,
+    /// Begins a rollout.
+    BeginRollout {
+        /// The service.
         service: &'static str,
-        to: String,
+        /// The version that it is to run.
+        target_version: String,
+        /// The time that it may take.
         within: u64,
     },
-    State {
+    /// Reads a service's newest rollout.
+    ReadRollout {
+        /// The service.
         service: &'static str,
     },
 }
 
-/// What they are told.
+impl OperatorRequest {
+    fn is_read(&self) -> bool {
+        matches!(
+            self,
+            OperatorRequest::ReadConfig | OperatorRequest::ReadRollout { .. }
+        )
+    }
+}
+
+/// What an operator is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum OperatorResponse {
     /// 200 to a change.
-    Taken,
-    /// 409: another document under the number, another rollout under way.
-    Refused,
-    /// The configuration in force, None: there is none.
-    Edition(Option<(u64, Arc<str>)>),
-    /// The newest rollout: version, term, how far.
+    Accepted,
+    /// 409: another document under the version, another rollout in progress.
+    Conflict,
+    /// The configuration in force; none: there is none.
+    Config(Option<(u64, Arc<str>)>),
+    /// The newest rollout: target version, time that it may take, phase.
     Rollout(Option<(String, u64, Phase)>),
-    /// 307
-    Moved(SocketAddrV4),
+    /// 307.
+    Redirect(SocketAddrV4),
     /// 503: in force, now or later, or never.
-    Unclear,
+    Unavailable,
 }
 
-/// What is done to a machine from outside.
+/// What is done to a controller from outside.
 pub enum Call {
-    /// `day` is the machine's time of day.
-    Ask { id: u64, asked: Asked, day: Micros },
-    /// If it leads, it has this agreed on.
+    /// An operator's request arrives.
+    Request {
+        /// Tells requests apart.
+        id: u64,
+        /// The request.
+        request: OperatorRequest,
+        /// The controller's time of day.
+        time_of_day: Micros,
+    },
+    /// If it leads, it proposes this.
     Propose(Command),
 }
 
-/// What a machine did.
+/// What a controller did.
 pub enum Observation {
-    Answered {
+    /// It responded.
+    Responded {
+        /// The request's id.
         id: u64,
-        answer: Answer,
+        /// The response.
+        response: OperatorResponse,
     },
+    /// It applied a command.
     Applied {
+        /// The command's place in the log.
         index: Index,
+        /// The command.
         command: Command,
+        /// What it did.
         effect: state_machine::Effect,
     },
+    /// It took over a snapshot.
     Restored {
+        /// The snapshot's place in the log.
         index: Index,
-        records: Records,
+        /// The state.
+        state: ControlState,
     },
 }
 
+/// A request that has no response yet.
 struct PendingCall {
-    asked: Asked,
-    /// Steady clock and time of day when it came.
-    came: (Micros, Micros),
-    /// The question to the core, and what is answered where that needs only its word that this machine leads.
+    request: OperatorRequest,
+    arrival: Arrival,
+    /// The request to the Raft node, once it was submitted.
     request_id: Option<u64>,
-    settled: Option<state_machine::Effect>,
-    again_at: Micros,
-    /// Whether this machine led when it came.
-    led: bool,
+    /// The outcome, where only the node's word that this controller leads is missing.
+    known_outcome: Option<state_machine::Effect>,
+    retry_at: Micros,
+    /// Whether this controller led when the request arrived.
+    was_leading: bool,
 }
 
-/// One of them.
+impl PendingCall {
+    fn is_timed_out(&self, now: Micros) -> bool {
+        now >= self.arrival.at + CALL_TIMEOUT
+    }
+
+    /// When something is to be done about it.
+    fn due_at(&self) -> Micros {
+        match self.request_id {
+            Some(_) => self.arrival.at + CALL_TIMEOUT,
+            None => self.retry_at,
+        }
+    }
+}
+
+/// What becomes of a pending call.
+enum NextStep {
+    Respond(OperatorResponse),
+    Submit,
+    Wait,
+}
+
+type Effects = Vec<Effect<OperatorNode>>;
+
+/// A controller.
 pub struct OperatorNode {
-    core: RaftNode,
-    records: Records,
-    witness: Witness,
+    raft: RaftNode,
+    state: ControlState,
+    acceptance_clock: AcceptanceClock,
     calls: BTreeMap<u64, PendingCall>,
-    request_ids: u64,
-    applied: Index,
-    since: u64,
+    last_request_id: u64,
+    applied_index: Index,
+    commands_since_snapshot: u64,
 }
 
 impl OperatorNode {
-    pub fn core(&self) -> &RaftNode {
-        &self.core
+    /// Returns the Raft node.
+    pub fn raft(&self) -> &RaftNode {
+        &self.raft
     }
 
-    pub fn records(&self) -> &Records {
-        &self.records
+    /// Returns the state agreed on.
+    pub fn state(&self) -> &ControlState {
+        &self.state
     }
 
-    fn carry_out(
-        &mut self,
-        now: Micros,
-        actions: Vec<Action>,
-        effects: &mut Vec<Effect<OperatorNode>>,
-    ) {
-        let mut did = BTreeMap::new();
+    fn step_raft(&mut self, now: Micros, event: Event, effects: &mut Effects) {
+        let actions = self.raft.step(now, event);
+        self.perform(now, actions, effects);
+    }
+
+    fn perform(&mut self, now: Micros, actions: Vec<Action>, effects: &mut Effects) {
+        let mut applied = BTreeMap::new();
         for action in actions {
             match action {
-                Action::Send(envelope) => {
-                    effects.push(Effect::Send {
-                        to: envelope.to.address,
-                        message: envelope,
-                    });
-                }
+                Action::Send(envelope) => effects.push(Effect::Send {
+                    to: envelope.to.address,
+                    message: envelope,
+                }),
                 Action::Write { serial, batch } => effects.push(Effect::Write {
                     serial,
                     write: batch,
                 }),
                 Action::Apply { index, command } => {
-                    let command = Command::unpack(&command).expect("as it was packed");
-                    let effect = self.records.apply(index, &command);
-                    self.witness.applied(now, &self.records);
-                    (self.applied, self.since) = (index, self.since + 1);
-                    did.insert(index, effect.clone());
+                    let command = Command::decode(&command).expect("encoded here");
+                    let effect = self.apply(now, index, &command);
+                    applied.insert(index, effect.clone());
                     effects.push(Effect::Observation(Observation::Applied {
                         index,
                         command,
@@ -143,151 +202,184 @@
                     }));
                 }
                 Action::Restore { index, state } => {
-                    self.records = Records::unpack(&state).expect("as it was packed");
-                    self.witness.applied(now, &self.records);
-                    (self.applied, self.since) = (index, 0);
-                    effects.push(Effect::Observation(Observation::Restored {
-                        index,
-                        records: self.records.clone(),
-                    }));
+                    self.restore(now, index, &state);
+                    let state = self.state.clone();
+                    effects.push(Effect::Observation(Observation::Restored { index, state }));
                 }
                 Action::Complete {
                     request_id,
                     outcome,
-                } => self.done(now, request_id, outcome, &did, effects),
+                } => self.on_complete(now, request_id, &outcome, &applied, effects),
             }
         }
     }
 
-    fn done(
+    fn apply(&mut self, now: Micros, index: Index, command: &Command) -> state_machine::Effect {
+        let effect = self.state.apply(index, command);
+        self.acceptance_clock.on_state_change(now, &self.state);
+        self.applied_index = index;
+        self.commands_since_snapshot += 1;
+        effect
+    }
+
+    fn restore(&mut self, now: Micros, index: Index, state: &[u8]) {
+        self.state = ControlState::decode(state).expect("encoded here");
+        self.acceptance_clock.on_state_change(now, &self.state);
+        self.applied_index = index;
+        self.commands_since_snapshot = 0;
+    }
+
+    /// The Raft node has completed a request. `applied`: what was applied with it.
+    fn on_complete(
         &mut self,
         now: Micros,
         request_id: u64,
-        outcome: Outcome,
-        did: &BTreeMap<Index, state_machine::Effect>,
-        effects: &mut Vec<Effect<OperatorNode>>,
+        outcome: &Outcome,
+        applied: &BTreeMap<Index, state_machine::Effect>,
+        effects: &mut Effects,
     ) {
-        let Some((&id, call)) = self
-            .calls
-            .iter_mut()
-            .find(|(_, call)| call.request_id == Some(request_id))
-        else {
+        let is_its = |call: &PendingCall| call.request_id == Some(request_id);
+        let Some((&id, call)) = self.calls.iter_mut().find(|(_, call)| is_its(call)) else {
             return;
         };
-        let is_read = matches!(call.asked, Asked::Read | Asked::State { .. });
-        let answer = match outcome {
-            Outcome::Committed { index } => match &call.asked {
-                Asked::Read => Answer::Edition(
-                    self.records
-                        .edition
-                        .as_ref()
-                        .map(|k| (k.number, k.text.clone())),
-                ),
-                Asked::State { service } => {
-                    let newest = self
-                        .records
-                        .services
-                        .get(*service)
-                        .and_then(|s| s.rollout.as_ref());
-                    Answer::Rollout(newest.map(|r| (r.to.clone(), r.within, r.phase)))
-                }
-                Asked::Replace { .. } | Asked::Begin { .. } => {
-                    match call.settled.as_ref().or(did.get(&index)) {
-                        Some(effect) if effect.is_taken() => Answer::Taken,
-                        Some(_) => Answer::Refused,
-                        None => Answer::Unclear,
-                    }
-                }
-            },
-            Outcome::LeadershipLost if !is_read && call.settled.is_none() => Answer::Unclear,
+        let response = match outcome {
+            Outcome::Committed { index } => {
+                let effect = call.known_outcome.as_ref().or(applied.get(index));
+                response(&self.state, &call.request, effect)
+            }
+            Outcome::LeadershipLost if !call.request.is_read() && call.known_outcome.is_none() => {
+                OperatorResponse::Unavailable
+            }
             Outcome::NotLeader { .. } | Outcome::Overloaded | Outcome::LeadershipLost => {
-                (call.request_id, call.settled, call.again_at) = (None, None, now + AGAIN);
+                call.request_id = None;
+                call.known_outcome = None;
+                call.retry_at = now + RETRY_INTERVAL;
                 return;
             }
         };
+        self.respond(id, response, effects);
+    }
+
+    fn respond(&mut self, id: u64, response: OperatorResponse, effects: &mut Effects) {
         self.calls.remove(&id);
-        effects.push(Effect::Observation(Observation::Answered { id, answer }));
+        effects.push(Effect::Observation(Observation::Responded { id, response }));
     }
 
-    /// Looks after the calls in hand: asks the core, sends callers on, or lets them go.
-    fn tend(&mut self, now: Micros, effects: &mut Vec<Effect<OperatorNode>>) {
-        let due = |call: &PendingCall| match call.request_id {
-            Some(_) => now >= call.came.0 + PATIENCE,
-            None => now >= call.again_at,
-        };
-        let due: Vec<u64> = self
-            .calls
-            .iter()
-            .filter(|(_, call)| due(call))
-            .map(|(id, _)| *id)
-            .collect();
+    /// Looks after the calls in progress: submits them, redirects callers, or gives them up.
+    fn serve_calls(&mut self, now: Micros, effects: &mut Effects) {
+        let due = self.calls.iter().filter(|(_, call)| now >= call.due_at());
+        let due: Vec<u64> = due.map(|(id, _)| *id).collect();
         for id in due {
-            let call = &self.calls[&id];
-            let elsewhere = self
-                .core
-                .leader()
-                .filter(|leader| *leader != self.core.id().address);
-            let over = now >= call.came.0 + PATIENCE;
-            let answer = match elsewhere {
-                _ if call.request_id.is_some() => Answer::Unclear,
-                _ if matches!(call.asked, Asked::Begin { .. })
-                    && !call.led
-                    && self.core.holds_lease(now) =>
-                {
-                    Answer::Unclear
-                }
-                _ if !over && self.core.holds_lease(now) => {
-                    self.ask(now, id, effects);
-                    continue;
+            match self.next_step(now, &self.calls[&id]) {
+                NextStep::Submit => self.submit(now, id, effects),
+                NextStep::Respond(response) => self.respond(id, response, effects),
+                NextStep::Wait => {
+                    let call = self.calls.get_mut(&id).expect("in progress");
+                    call.retry_at = now + RETRY_INTERVAL;
                 }
-                Some(leader) => Answer::Moved(leader),
-                None if over => Answer::Unclear,
-                None => {
-                    self.calls.get_mut(&id).expect("in hand").again_at = now + AGAIN;
-                    continue;
-                }
-            };
-            self.calls.remove(&id);
-            effects.push(Effect::Observation(Observation::Answered { id, answer }));
+            }
         }
     }
 
-    fn ask(&mut self, now: Micros, id: u64, effects: &mut Vec<Effect<OperatorNode>>) {
-        self.request_ids += 1;
-        let request_id = self.request_ids;
-        let call = self.calls.get_mut(&id).expect("in hand");
+    fn next_step(&self, now: Micros, call: &PendingCall) -> NextStep {
+        if call.request_id.is_some() {
+            return NextStep::Respond(OperatorResponse::Unavailable);
+        }
+        let holds_lease = self.raft.holds_lease(now);
+        let begins_rollout = matches!(call.request, OperatorRequest::BeginRollout { .. });
+        if begins_rollout && !call.was_leading && holds_lease {
+            return NextStep::Respond(OperatorResponse::Unavailable);
+        }
+        if !call.is_timed_out(now) && holds_lease {
+            return NextStep::Submit;
+        }
+        let own = self.raft.id().address;
+        match self.raft.leader().filter(|leader| *leader != own) {
+            Some(leader) => NextStep::Respond(OperatorResponse::Redirect(leader)),
+            None if call.is_timed_out(now) => NextStep::Respond(OperatorResponse::Unavailable),
+            None => NextStep::Wait,
+        }
+    }
+
+    fn submit(&mut self, now: Micros, id: u64, effects: &mut Effects) {
+        self.last_request_id += 1;
+        let request_id = self.last_request_id;
+        let call = self.calls.get_mut(&id).expect("in progress");
         call.request_id = Some(request_id);
-        let proposal = match &call.asked {
-            Asked::Read | Asked::State { .. } => None,
-            Asked::Replace { number, text } => {
-                call.settled = self.records.settled(*number, &Digest::of(text));
-                let kept = Kept {
-                    number: *number,
+        let command = match &call.request {
+            OperatorRequest::ReadConfig | OperatorRequest::ReadRollout { .. } => None,
+            OperatorRequest::ReplaceConfig { version, text } => {
+                call.known_outcome = self.state.known_outcome(*version, &Digest::of(text));
+                let config = StoredConfig {
+                    version: *version,
                     text: text.clone(),
                 };
-                call.settled.is_none().then_some(Command::Replace(kept))
+                call.known_outcome
+                    .is_none()
+                    .then_some(Command::ReplaceConfig(config))
             }
-            Asked::Begin {
+            OperatorRequest::BeginRollout {
                 service,
-                to,
+                target_version,
                 within,
             } => {
-                let proposal =
-                    self.witness
-                        .look(&self.records, call.came, (service, to, *within), RECEIPT);
-                call.settled = proposal.is_none().then_some(state_machine::Effect::Again);
-                proposal
+                let content = OrderContent {
+                    service,
+                    target_version,
+                    within: *within,
+                };
+                let clock = &self.acceptance_clock;
+                let command = clock.propose(&self.state, call.arrival, content, RECEIPT);
+                if command.is_none() {
+                    call.known_outcome = Some(state_machine::Effect::Duplicate);
+                }
+                command
             }
         };
-        let event = match proposal {
+        let event = match command {
             Some(command) => Event::Propose {
                 request_id,
-                command: command.pack(),
+                command: command.encode(),
             },
             None => Event::Read { request_id },
         };
-        let actions = self.core.step(now, event);
-        self.carry_out(now, actions, effects);
+        self.step_raft(now, event, effects);
+    }
+
+    fn compact(&mut self, now: Micros, effects: &mut Effects) {
+        self.commands_since_snapshot = 0;
+        let event = Event::Compact {
+            index: self.applied_index,
+            state: self.state.encode(),
+        };
+        self.step_raft(now, event, effects);
+    }
+}
+
+/// Returns the response to a request that is committed; `effect`: what its command did.
+fn response(
+    state: &ControlState,
+    request: &OperatorRequest,
+    effect: Option<&state_machine::Effect>,
+) -> OperatorResponse {
+    match request {
+        OperatorRequest::ReadConfig => {
+            let config = state.config.as_ref();
+            OperatorResponse::Config(config.map(|config| (config.version, config.text.clone())))
+        }
+        OperatorRequest::ReadRollout { service } => {
+            let service = state.services.get(*service);
+            let newest = service.and_then(|service| service.rollout.as_ref());
+            let rollout = newest.map(|r| (r.target_version.clone(), r.within, r.phase));
+            OperatorResponse::Rollout(rollout)
+        }
+        OperatorRequest::ReplaceConfig { .. } | OperatorRequest::BeginRollout { .. } => {
+            match effect {
+                Some(effect) if effect.is_accepted() => OperatorResponse::Accepted,
+                Some(_) => OperatorResponse::Conflict,
+                None => OperatorResponse::Unavailable,
+            }
+        }
     }
 }
 
@@ -298,47 +390,31 @@
     type Call = Call;
     type Observation = Observation;
 
-    fn start(
-        boot: &BootOptions,
-        now: Micros,
-        disk: &PersistentState,
-    ) -> (OperatorNode, Vec<Effect<OperatorNode>>) {
-        let BootOptions {
-            address,
-            seeds,
-            first_run,
-            seed,
-            day,
-            tolerated_failures,
-            recovery_interval,
-        } = boot.clone();
-        let (core, actions) = RaftNode::start(
-            now,
-            Config {
-                address,
-                seeds,
-                first_run,
-                seed,
-                tolerated_failures,
-                recovery_interval,
-            },
-            disk.clone(),
-        );
-        let mut desk = OperatorNode {
-            core,
-            records: Records::default(),
-            witness: Witness::new(now, day),
+    fn start(boot: &BootOptions, now: Micros, disk: &PersistentState) -> (OperatorNode, Effects) {
+        let config = Config {
+            address: boot.address,
+            seeds: boot.seeds.clone(),
+            first_run: boot.first_run,
+            seed: boot.seed,
+            tolerated_failures: boot.tolerated_failures,
+            recovery_interval: boot.recovery_interval,
+        };
+        let (raft, actions) = RaftNode::start(now, config, disk.clone());
+        let mut node = OperatorNode {
+            raft,
+            state: ControlState::default(),
+            acceptance_clock: AcceptanceClock::new(now, boot.day),
             calls: BTreeMap::new(),
-            request_ids: 0,
-            applied: 0,
-            since: 0,
+            last_request_id: 0,
+            applied_index: 0,
+            commands_since_snapshot: 0,
         };
         let mut effects = Vec::new();
-        desk.carry_out(now, actions, &mut effects);
-        (desk, effects)
+        node.perform(now, actions, &mut effects);
+        (node, effects)
     }
 
-    fn step(&mut self, now: Micros, input: Input<OperatorNode>) -> Vec<Effect<OperatorNode>> {
+    fn step(&mut self, now: Micros, input: Input<OperatorNode>) -> Effects {
         let mut effects = Vec::new();
         let event = match input {
             Input::Tick => Event::Tick,
@@ -347,43 +423,40 @@
             Input::Refused(serial) => Event::WriteFailed { serial },
             Input::Call(Call::Propose(command)) => Event::Propose {
                 request_id: 0,
-                command: command.pack(),
+                command: command.encode(),
             },
-            Input::Call(Call::Ask { id, asked, day }) => {
+            Input::Call(Call::Request {
+                id,
+                request,
+                time_of_day,
+            }) => {
                 let call = PendingCall {
-                    asked,
-                    came: (now, day),
+                    request,
+                    arrival: Arrival {
+                        at: now,
+                        time_of_day,
+                    },
                     request_id: None,
-                    settled: None,
-                    again_at: now,
-                    led: self.core.holds_lease(now),
+                    known_outcome: None,
+                    retry_at: now,
+                    was_leading: self.raft.holds_lease(now),
                 };
                 self.calls.insert(id, call);
                 Event::Tick
             }
         };
-        let actions = self.core.step(now, event);
-        self.carry_out(now, actions, &mut effects);
-        if self.since >= COMPACT_AFTER || self.core.should_compact() {
-            self.since = 0;
-            let event = Event::Compact {
-                index: self.applied,
-                state: self.records.pack(),
-            };
-            let actions = self.core.step(now, event);
-            self.carry_out(now, actions, &mut effects);
+        self.step_raft(now, event, &mut effects);
+        if self.commands_since_snapshot >= COMMANDS_PER_SNAPSHOT || self.raft.should_compact() {
+            self.compact(now, &mut effects);
         }
-        self.tend(now, &mut effects);
+        self.serve_calls(now, &mut effects);
         effects
     }
 
     fn next_wake(&self) -> Option<Micros> {
-        let due = |call: &PendingCall| match call.request_id {
-            Some(_) => call.came.0 + PATIENCE,
-            None => call.again_at,
-        };
-        let calls = self.calls.values().map(due).min();
-        Some(calls.map_or(self.core.next_wake(), |due| due.min(self.core.next_wake())))
+        let raft = self.raft.next_wake();
+        let calls = self.calls.values().map(PendingCall::due_at).min();
+        Some(calls.map_or(raft, |calls| calls.min(raft)))
     }
 
     fn put(disk: &mut PersistentState, write: WriteBatch) {
--- a/tools/raft-simulation/src/operator_workload.rs
+++ b/tools/raft-simulation/src/operator_workload.rs
@@ -3,16 +3,18 @@
 //! history; what the machines did, after every step.
 
 use crate::linearizability::{
-    self, DocumentAnswer, DocumentAsked, Documents, Fate, RecordedCall, RolloutAnswer,
-    RolloutAsked, Rollouts,
+    self, ConfigModel, ConfigRequest, ConfigResponse, RecordedCall, RolloutModel, RolloutRequest,
+    RolloutResponse, RolloutStatus,
+};
+use crate::operator_node::{
+    Call, Observation, OperatorNode, OperatorRequest, OperatorResponse, RECEIPT,
 };
-use crate::operator_node::{Answer, Asked, Call, Observation, OperatorNode, RECEIPT};
 use crate::{
     address, DiskFault, Fault, FaultInjector, Micros, NetworkProfile, Observer, Process, Simulator,
     MILLI, SECOND,
 };
 use magpieline_control_plane::deduplication::Digest;
-use magpieline_control_plane::state_machine::{Command, Effect, Phase, Records};
+use magpieline_control_plane::state_machine::{Command, ControlState, Effect, Phase};
 use magpieline_raft::{Index, RaftNode};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -21,18 +23,18 @@
 use std::sync::Arc;
 
 /// Orders under way at once.
-const MOST_AT_ONCE: usize = 8;
+const MAX_CONCURRENT_CALLS: usize = 8;
 /// An operator waits so long for an answer, and follows so many redirects.
-const SILENCE: Micros = SECOND;
-const MOST_MOVES: u32 = 2;
+const RESPONSE_TIMEOUT: Micros = SECOND;
+const MAX_REDIRECTS: u32 = 2;
 /// A configuration is sent until it is taken, for so long.
-const UNTIL_TAKEN: Micros = 40 * SECOND;
+const MAX_RETRY_TIME: Micros = 40 * SECOND;
 /// A way of a call or of an answer. Calls that are held up longer are dropped with their connection.
-const WAY: Micros = 300 * MILLI;
+const MAX_DELIVERY_DELAY: Micros = 300 * MILLI;
 /// The same version is ordered anew only this long after the last time: every machine's clock then agrees that it is new.
-const ANEW_AFTER: Micros = 25 * SECOND;
+const REPEAT_ORDER_AFTER: Micros = 25 * SECOND;
 /// A wiped machine is back within three seconds, and has what it needs some seconds after.
-const WIPES_APART: Micros = 8 * SECOND;
+const MIN_WIPE_INTERVAL: Micros = 8 * SECOND;
 const SERVICES: [&str; 2] = ["alpha", "beta"];
 /// A term of no particular length.
 const WITHIN: u64 = 12 * SECOND;
@@ -43,20 +45,20 @@
     now: Micros,
     /// By place in the log: command, effect, when it was first applied.
     log: BTreeMap<Index, (Command, Effect, Micros)>,
-    reference: Records,
+    reference: ControlState,
     /// The reference's digest after each place.
     states: BTreeMap<Index, Digest>,
-    answers: Vec<(u64, Answer)>,
+    responses: Vec<(u64, OperatorResponse)>,
 }
 
-fn digest(records: &Records) -> Digest {
-    Digest::of(&format!("{records:?}"))
+fn digest(state: &ControlState) -> Digest {
+    Digest::of(&format!("{state:?}"))
 }
 
 impl Observer<OperatorNode> for Checks {
     fn observed(&mut self, machine: usize, note: Observation) {
         match note {
-            Observation::Answered { id, answer } => self.answers.push((id, answer)),
+            Observation::Responded { id, response } => self.responses.push((id, response)),
             Observation::Applied {
                 index,
                 command,
@@ -81,14 +83,14 @@
                     self.log.insert(index, (command, effect, self.now));
                 }
             },
-            Observation::Restored { index, records } => {
+            Observation::Restored { index, state } => {
                 let known = self
                     .states
                     .get(&index)
                     .unwrap_or_else(|| panic!("{index} was never applied"));
                 assert_eq!(
                     *known,
-                    digest(&records),
+                    digest(&state),
                     "machine {machine}'s snapshot at {index}"
                 );
             }
@@ -98,7 +100,7 @@
 
 /// What an operator wants done, in one call or several copies of it.
 struct Order {
-    asked: Asked,
+    request: OperatorRequest,
     first_sent: Micros,
     /// Nothing is sent after this.
     until: Micros,
@@ -113,16 +115,16 @@
 struct Sent {
     order: usize,
     sent: Micros,
-    moves: u32,
-    back: Option<(Micros, Answer)>,
+    redirects: u32,
+    back: Option<(Micros, OperatorResponse)>,
     /// The operator still waits.
     open: bool,
 }
 
-enum Way {
-    To { id: u64, machine: usize },
-    Back { id: u64, answer: Answer },
-    Silence { id: u64 },
+enum Delivery {
+    Request { id: u64, machine: usize },
+    Response { id: u64, response: OperatorResponse },
+    Timeout { id: u64 },
 }
 
 /// What happened in a run, for who wants to see that it was one.
@@ -130,8 +132,8 @@
 pub struct WorkloadTotals {
     pub steps: u64,
     pub calls: u64,
-    pub taken: u64,
-    pub refused: u64,
+    pub accepted: u64,
+    pub rejected: u64,
     pub reads: u64,
     pub unanswered: u64,
     pub entries: u64,
@@ -144,8 +146,8 @@
     pub fn add(&mut self, other: &WorkloadTotals) {
         self.steps += other.steps;
         self.calls += other.calls;
-        self.taken += other.taken;
-        self.refused += other.refused;
+        self.accepted += other.accepted;
+        self.rejected += other.rejected;
         self.reads += other.reads;
         self.unanswered += other.unanswered;
         self.entries += other.entries;
@@ -164,10 +166,10 @@
     machines: usize,
     orders: Vec<Order>,
     sent: BTreeMap<u64, Sent>,
-    ways: BTreeMap<(Micros, u64), Way>,
+    deliveries: BTreeMap<(Micros, u64), Delivery>,
     serial: u64,
     order_at: Micros,
-    steward_at: Micros,
+    advance_rollouts_at: Micros,
     highest: u64,
     versions: u64,
     /// No disk is lost before.
@@ -177,7 +179,7 @@
 
 impl OperatorWorkload {
     /// Starts so many machines for the first time.
-    pub fn open(seed: u64, machines: usize) -> OperatorWorkload {
+    pub fn new(seed: u64, machines: usize) -> OperatorWorkload {
         let mut simulator = Simulator::new(seed, NetworkProfile::RELIABLE);
         let mut checks = Checks::default();
         let seeds: Vec<_> = (0..machines.min(3)).map(address).collect();
@@ -194,10 +196,10 @@
             machines,
             orders: Vec::new(),
             sent: BTreeMap::new(),
-            ways: BTreeMap::new(),
+            deliveries: BTreeMap::new(),
             serial: 0,
             order_at: SECOND / 2,
-            steward_at: SECOND,
+            advance_rollouts_at: SECOND,
             highest: 0,
             versions: 0,
             wipe_from: 0,
@@ -207,7 +209,7 @@
 
     /// Operators call and things break for so many steps; then all is mended, all is read back and the history is looked
     /// at. Panics with what is wrong.
-    pub fn play(&mut self, steps: u64) -> WorkloadTotals {
+    pub fn run(&mut self, steps: u64) -> WorkloadTotals {
         while self.simulator.steps() < steps {
             self.step(Micros::MAX);
         }
@@ -220,9 +222,14 @@
         }
         self.run_for(12 * SECOND);
         let first = self.orders.len();
-        let reads = SERVICES.iter().map(|service| Asked::State { service });
-        for asked in reads.chain([Asked::Read]).collect::<Vec<_>>() {
-            self.want(asked, 10 * SECOND, 0);
+        let reads = SERVICES
+            .iter()
+            .map(|service| OperatorRequest::ReadRollout { service });
+        for request in reads
+            .chain([OperatorRequest::ReadConfig])
+            .collect::<Vec<_>>()
+        {
+            self.place_order(request, 10 * SECOND, 0);
         }
         self.run_for(12 * SECOND);
         for order in first..self.orders.len() {
@@ -233,12 +240,12 @@
             assert!(
                 clear,
                 "{:?} got no answer at the end\n{}",
-                self.orders[order].asked,
+                self.orders[order].request,
                 self.report()
             );
         }
-        self.look_back();
-        self.called()
+        self.check_history();
+        self.totals()
     }
 
     fn run_for(&mut self, span: Micros) {
@@ -257,13 +264,13 @@
             .min()
             .unwrap_or(Micros::MAX);
         let way = self
-            .ways
+            .deliveries
             .first_key_value()
             .map_or(Micros::MAX, |((at, _), _)| *at);
         let own = due
             .min(way)
             .min(self.order_at)
-            .min(self.steward_at)
+            .min(self.advance_rollouts_at)
             .min(self.injector.next_at())
             .min(end);
         if self.simulator.next_at().is_some_and(|at| at <= own) {
@@ -278,10 +285,10 @@
             }
             self.act();
         }
-        for (id, answer) in std::mem::take(&mut self.checks.answers) {
+        for (id, response) in std::mem::take(&mut self.checks.responses) {
             // Some answers are lost on their way.
             if !self.rng.gen_ratio(1, 6) {
-                self.way(WAY, Way::Back { id, answer });
+                self.deliver(MAX_DELIVERY_DELAY, Delivery::Response { id, response });
             }
         }
     }
@@ -290,7 +297,7 @@
         match fault {
             Fault::AddNode => return,
             Fault::Wipe(machine) if !self.may_wipe(machine) => return,
-            Fault::Wipe(_) => self.wipe_from = self.simulator.now() + WIPES_APART,
+            Fault::Wipe(_) => self.wipe_from = self.simulator.now() + MIN_WIPE_INTERVAL,
             _ => {}
         }
         self.faults.push((self.simulator.now(), fault));
@@ -300,40 +307,40 @@
     /// Only while all machines run and vote by one list that is in force, by what they know and by what they would know
     /// after a loss of power, and have the same log: so that one lost disk is all that is lost.
     fn may_wipe(&self, machine: usize) -> bool {
-        let desks: Vec<&OperatorNode> = (0..self.machines)
+        let nodes: Vec<&OperatorNode> = (0..self.machines)
             .filter_map(|m| self.simulator.node(m))
             .collect();
-        let Some(known) = self.simulator.node(machine).map(OperatorNode::core) else {
+        let Some(known) = self.simulator.node(machine).map(OperatorNode::raft) else {
             return false;
         };
-        let whole = |core: &RaftNode| {
-            core.previous_voters().is_none()
-                && core.voters() == known.voters()
-                && desks
+        let is_whole = |raft: &RaftNode| {
+            raft.previous_voters().is_none()
+                && raft.voters() == known.voters()
+                && nodes
                     .iter()
-                    .all(|desk| core.voters().contains(&desk.core().id()))
+                    .all(|node| raft.voters().contains(&node.raft().id()))
         };
         self.simulator.now() >= self.wipe_from
-            && desks.len() == self.machines
+            && nodes.len() == self.machines
             && known.voters().len() == self.machines
             && (0..self.machines).all(|m| {
-                whole(
+                is_whole(
                     OperatorNode::start(self.simulator.boot(m), 0, self.simulator.disk(m))
                         .0
-                        .core(),
+                        .raft(),
                 )
             })
-            && desks.iter().all(|desk| {
-                let core = desk.core();
-                whole(core)
-                    && (core.term(), core.commit_index()) == (known.term(), known.commit_index())
+            && nodes.iter().all(|node| {
+                let raft = node.raft();
+                is_whole(raft)
+                    && (raft.term(), raft.commit_index()) == (known.term(), known.commit_index())
             })
     }
 
-    fn way(&mut self, longest: Micros, way: Way) {
+    fn deliver(&mut self, longest: Micros, delivery: Delivery) {
         self.serial += 1;
         let at = self.simulator.now() + self.rng.gen_range(MILLI..longest);
-        self.ways.insert((at, self.serial), way);
+        self.deliveries.insert((at, self.serial), delivery);
     }
 
     /// Operators' turn.
@@ -342,13 +349,13 @@
         if now >= self.order_at {
             self.order_at = now + self.rng.gen_range(20 * MILLI..600 * MILLI);
             let under_way = self.sent.values().filter(|s| s.open).count();
-            if under_way < MOST_AT_ONCE {
-                self.think_of_one();
+            if under_way < MAX_CONCURRENT_CALLS {
+                self.draw_order();
             }
         }
-        if now >= self.steward_at {
-            self.steward_at = now + self.rng.gen_range(100 * MILLI..3 * SECOND);
-            self.move_on();
+        if now >= self.advance_rollouts_at {
+            self.advance_rollouts_at = now + self.rng.gen_range(100 * MILLI..3 * SECOND);
+            self.advance_rollouts();
         }
         for order in 0..self.orders.len() {
             if self.orders[order].next_at.is_some_and(|at| at <= now) {
@@ -356,26 +363,26 @@
             }
         }
         while self
-            .ways
+            .deliveries
             .first_key_value()
             .is_some_and(|((at, _), _)| *at <= now)
         {
-            let (_, way) = self.ways.pop_first().expect("looked at");
-            match way {
-                Way::To { id, machine } => self.arrive(id, machine),
-                Way::Back { id, answer } => self.hear(id, answer),
-                Way::Silence { id } => {
+            let (_, delivery) = self.deliveries.pop_first().expect("looked at");
+            match delivery {
+                Delivery::Request { id, machine } => self.on_request(id, machine),
+                Delivery::Response { id, response } => self.on_response(id, response),
+                Delivery::Timeout { id } => {
                     if let Some(sent) = self.sent.get_mut(&id).filter(|s| s.open) {
                         sent.open = false;
                         let order = sent.order;
-                        self.again(order);
+                        self.retry(order);
                     }
                 }
             }
         }
     }
 
-    fn think_of_one(&mut self) {
+    fn draw_order(&mut self) {
         let service = SERVICES[self.rng.gen_range(0..SERVICES.len())];
         match self.rng.gen_range(0..100) {
             0..=39 => {
@@ -393,30 +400,30 @@
                 };
                 let text = format!("{number} by {} {}", self.orders.len(), "x".repeat(size));
                 let copies = self.rng.gen_range(0..3);
-                self.want(
-                    Asked::Replace {
-                        number,
+                self.place_order(
+                    OperatorRequest::ReplaceConfig {
+                        version: number,
                         text: text.into(),
                     },
-                    UNTIL_TAKEN,
+                    MAX_RETRY_TIME,
                     copies,
                 );
             }
             40..=59 => {
-                let (to, within) = self.version(service);
+                let (target_version, within) = self.version(service);
                 let copies = self.rng.gen_range(0..4);
-                self.want(
-                    Asked::Begin {
+                self.place_order(
+                    OperatorRequest::BeginRollout {
                         service,
-                        to,
+                        target_version,
                         within,
                     },
                     RECEIPT,
                     copies,
                 );
             }
-            60..=84 => self.want(Asked::Read, 3 * SECOND, 0),
-            _ => self.want(Asked::State { service }, 3 * SECOND, 0),
+            60..=84 => self.place_order(OperatorRequest::ReadConfig, 3 * SECOND, 0),
+            _ => self.place_order(OperatorRequest::ReadRollout { service }, 3 * SECOND, 0),
         }
     }
 
@@ -425,20 +432,20 @@
         let now = self.simulator.now();
         let mut last: BTreeMap<(&str, u64), Micros> = BTreeMap::new();
         for order in &self.orders {
-            if let Asked::Begin {
+            if let OperatorRequest::BeginRollout {
                 service: s,
-                to,
+                target_version,
                 within,
-            } = &order.asked
+            } = &order.request
             {
                 if *s == service {
-                    last.insert((to, *within), order.first_sent);
+                    last.insert((target_version, *within), order.first_sent);
                 }
             }
         }
         let old = last
             .into_iter()
-            .filter(|(_, at)| now >= at + ANEW_AFTER)
+            .filter(|(_, at)| now >= at + REPEAT_ORDER_AFTER)
             .map(|(content, _)| content);
         let old: Vec<(String, u64)> = old.map(|(to, within)| (to.to_owned(), within)).collect();
         match old.choose(&mut self.rng) {
@@ -450,10 +457,10 @@
         }
     }
 
-    fn want(&mut self, asked: Asked, span: Micros, copies: u32) {
+    fn place_order(&mut self, request: OperatorRequest, span: Micros, copies: u32) {
         let now = self.simulator.now();
         self.orders.push(Order {
-            asked,
+            request,
             first_sent: now,
             until: now + span,
             next_at: Some(now),
@@ -474,43 +481,52 @@
             Sent {
                 order,
                 sent: now,
-                moves: 0,
+                redirects: 0,
                 back: None,
                 open: true,
             },
         );
         let machine = self.rng.gen_range(0..self.machines);
-        self.way(WAY, Way::To { id, machine });
+        self.deliver(MAX_DELIVERY_DELAY, Delivery::Request { id, machine });
         self.serial += 1;
-        self.ways
-            .insert((now + SILENCE, self.serial), Way::Silence { id });
+        self.deliveries.insert(
+            (now + RESPONSE_TIMEOUT, self.serial),
+            Delivery::Timeout { id },
+        );
     }
 
-    fn arrive(&mut self, id: u64, machine: usize) {
-        let asked = self.orders[self.sent[&id].order].asked.clone();
-        let day = self.simulator.day(machine);
-        self.simulator
-            .call(machine, Call::Ask { id, asked, day }, &mut self.checks);
+    fn on_request(&mut self, id: u64, machine: usize) {
+        let request = self.orders[self.sent[&id].order].request.clone();
+        let time_of_day = self.simulator.day(machine);
+        self.simulator.call(
+            machine,
+            Call::Request {
+                id,
+                request,
+                time_of_day,
+            },
+            &mut self.checks,
+        );
     }
 
-    fn hear(&mut self, id: u64, answer: Answer) {
+    fn on_response(&mut self, id: u64, answer: OperatorResponse) {
         let now = self.simulator.now();
         let Some(sent) = self.sent.get_mut(&id).filter(|s| s.open) else {
             return;
         };
         let order = sent.order;
         match answer {
-            Answer::Moved(to) if sent.moves < MOST_MOVES => {
-                sent.moves += 1;
+            OperatorResponse::Redirect(to) if sent.redirects < MAX_REDIRECTS => {
+                sent.redirects += 1;
                 let machine = (0..self.machines)
                     .find(|m| address(*m) == to)
                     .expect("one of them");
-                self.way(WAY, Way::To { id, machine });
+                self.deliver(MAX_DELIVERY_DELAY, Delivery::Request { id, machine });
                 return;
             }
-            Answer::Moved(_) | Answer::Unclear => {
+            OperatorResponse::Redirect(_) | OperatorResponse::Unavailable => {
                 sent.open = false;
-                return self.again(order);
+                return self.retry(order);
             }
             clear => {
                 sent.back = Some((now, clear));
@@ -527,7 +543,7 @@
     }
 
     /// No clear answer: the same is sent again after a pause that grows.
-    fn again(&mut self, order: usize) {
+    fn retry(&mut self, order: usize) {
         let at = self.simulator.now() + self.rng.gen_range(MILLI..self.orders[order].pause);
         let order = &mut self.orders[order];
         order.pause = (2 * order.pause).min(SECOND);
@@ -535,26 +551,26 @@
     }
 
     /// A leader's steward decides on rollouts.
-    fn move_on(&mut self) {
+    fn advance_rollouts(&mut self) {
         for machine in 0..self.machines {
-            let Some(desk) = self.simulator.node(machine) else {
+            let Some(node) = self.simulator.node(machine) else {
                 continue;
             };
-            if desk.core().leader() != Some(desk.core().id().address) {
+            if node.raft().leader() != Some(node.raft().id().address) {
                 continue;
             }
             let under_way = SERVICES
                 .iter()
-                .filter_map(|s| Some((*s, desk.records().under_way(s)?.clone())));
+                .filter_map(|s| Some((*s, node.state().active_rollout(s)?.clone())));
             for (service, rollout) in under_way.collect::<Vec<_>>() {
                 let phase = match rollout.phase {
-                    _ if self.rng.gen_ratio(2, 5) => Phase::Returned,
-                    Phase::Moving => Phase::Delivered,
-                    _ => Phase::Moving,
+                    _ if self.rng.gen_ratio(2, 5) => Phase::RolledBack,
+                    Phase::Promoting => Phase::Completed,
+                    _ => Phase::Promoting,
                 };
-                let command = Command::Advance {
+                let command = Command::AdvanceRollout {
                     service: service.into(),
-                    order: rollout.order,
+                    id: rollout.id,
                     phase,
                 };
                 self.simulator
@@ -564,16 +580,17 @@
     }
 
     /// Looks at the whole history.
-    fn look_back(&self) {
-        if let Err(wrong) = linearizability::check(&Documents, &self.documents()) {
+    fn check_history(&self) {
+        if let Err(wrong) = linearizability::check(&ConfigModel, &self.config_calls()) {
             panic!("configurations: {wrong}\n{}", self.report());
         }
         for service in SERVICES {
-            if let Err(wrong) = linearizability::check(&Rollouts, &self.rollouts(service)) {
+            if let Err(wrong) = linearizability::check(&RolloutModel, &self.rollout_calls(service))
+            {
                 panic!("rollouts of {service}: {wrong}\n{}", self.report());
             }
-            self.one_at_a_time(service);
-            self.count_runs(service);
+            self.check_one_rollout_at_a_time(service);
+            self.check_executions(service);
         }
     }
 
@@ -583,16 +600,16 @@
         for machine in 0..self.machines {
             lines.push(match self.simulator.node(machine) {
                 None => format!("{machine}: down"),
-                Some(desk) => {
-                    let core = desk.core();
-                    let (own, voters) = (core.id().incarnation % 1000, core.voters());
+                Some(node) => {
+                    let raft = node.raft();
+                    let (own, voters) = (raft.id().incarnation % 1000, raft.voters());
                     let incarnations: Vec<u64> = voters.iter().map(|node_id| node_id.incarnation % 1000).collect();
                     format!(
                         "{machine}: {:?} term {} last {} commit {} incarnation {own} voters {incarnations:?}",
-                        core.role(),
-                        core.term(),
-                        core.last_index(),
-                        core.commit_index()
+                        raft.role(),
+                        raft.term(),
+                        raft.last_index(),
+                        raft.commit_index()
                     )
                 }
             });
@@ -606,7 +623,7 @@
         lines.join("\n")
     }
 
-    fn documents(&self) -> Vec<RecordedCall<DocumentAsked, DocumentAnswer>> {
+    fn config_calls(&self) -> Vec<RecordedCall<ConfigRequest, ConfigResponse>> {
         let mut names: HashMap<Arc<str>, u64> = HashMap::new();
         let mut name = |text: &Arc<str>| {
             let next = names.len() as u64;
@@ -614,37 +631,39 @@
         };
         let mut calls = Vec::new();
         for sent in self.sent.values() {
-            let asked = match &self.orders[sent.order].asked {
-                Asked::Replace { number, text } => DocumentAsked::Replace {
-                    number: *number,
+            let request = match &self.orders[sent.order].request {
+                OperatorRequest::ReplaceConfig { version, text } => ConfigRequest::Replace {
+                    version: *version,
                     document: name(text),
                 },
-                Asked::Read => DocumentAsked::Read,
-                Asked::Begin { .. } | Asked::State { .. } => continue,
+                OperatorRequest::ReadConfig => ConfigRequest::Read,
+                OperatorRequest::BeginRollout { .. } | OperatorRequest::ReadRollout { .. } => {
+                    continue
+                }
             };
-            let back = sent.back.as_ref().map(|(at, answer)| {
+            let response = sent.back.as_ref().map(|(at, answer)| {
                 let answer = match answer {
-                    Answer::Taken => DocumentAnswer::Taken,
-                    Answer::Refused => DocumentAnswer::Refused,
-                    Answer::Edition(held) => {
-                        DocumentAnswer::Held(held.as_ref().map(|(n, text)| (*n, name(text))))
+                    OperatorResponse::Accepted => ConfigResponse::Accepted,
+                    OperatorResponse::Conflict => ConfigResponse::Conflict,
+                    OperatorResponse::Config(held) => {
+                        ConfigResponse::Current(held.as_ref().map(|(n, text)| (*n, name(text))))
                     }
-                    other => panic!("{asked:?} was answered {other:?}"),
+                    other => panic!("{request:?} was answered {other:?}"),
                 };
                 (*at, answer)
             });
-            if back.is_some() || asked != DocumentAsked::Read {
+            if response.is_some() || request != ConfigRequest::Read {
                 calls.push(RecordedCall {
-                    asked,
+                    request,
                     sent: sent.sent,
-                    back,
+                    response,
                 });
             }
         }
         calls
     }
 
-    fn rollouts(&self, of: &str) -> Vec<RecordedCall<RolloutAsked, RolloutAnswer>> {
+    fn rollout_calls(&self, of: &str) -> Vec<RecordedCall<RolloutRequest, RolloutResponse>> {
         let mut names: HashMap<(String, u64), u64> = HashMap::new();
         let mut name = |to: &str, within: u64| {
             let next = names.len() as u64;
@@ -652,41 +671,41 @@
         };
         let mut calls = Vec::new();
         for sent in self.sent.values() {
-            let asked = match &self.orders[sent.order].asked {
-                Asked::Begin {
+            let request = match &self.orders[sent.order].request {
+                OperatorRequest::BeginRollout {
                     service,
-                    to,
+                    target_version,
                     within,
-                } if *service == of => RolloutAsked::Begin {
+                } if *service == of => RolloutRequest::Begin {
                     order: sent.order as u64,
-                    content: name(to, *within),
+                    content: name(target_version, *within),
                 },
-                Asked::State { service } if *service == of => RolloutAsked::State,
+                OperatorRequest::ReadRollout { service } if *service == of => RolloutRequest::Read,
                 _ => continue,
             };
-            let back = sent.back.as_ref().map(|(at, answer)| {
+            let response = sent.back.as_ref().map(|(at, answer)| {
                 let answer = match answer {
-                    Answer::Taken => RolloutAnswer::Taken,
-                    Answer::Refused => RolloutAnswer::Refused,
-                    Answer::Rollout(newest) => {
-                        RolloutAnswer::Newest(newest.as_ref().map(|(to, within, phase)| {
-                            let fate = match phase {
-                                Phase::Trial | Phase::Moving => Fate::UnderWay,
-                                Phase::Delivered => Fate::Delivered,
-                                Phase::Returned => Fate::Returned,
+                    OperatorResponse::Accepted => RolloutResponse::Accepted,
+                    OperatorResponse::Conflict => RolloutResponse::Conflict,
+                    OperatorResponse::Rollout(newest) => RolloutResponse::Newest(
+                        newest.as_ref().map(|(target_version, within, phase)| {
+                            let status = match phase {
+                                Phase::Trial | Phase::Promoting => RolloutStatus::Active,
+                                Phase::Completed => RolloutStatus::Completed,
+                                Phase::RolledBack => RolloutStatus::RolledBack,
                             };
-                            (name(to, *within), fate)
-                        }))
-                    }
-                    other => panic!("{asked:?} was answered {other:?}"),
+                            (name(target_version, *within), status)
+                        }),
+                    ),
+                    other => panic!("{request:?} was answered {other:?}"),
                 };
                 (*at, answer)
             });
-            if back.is_some() || asked != RolloutAsked::State {
+            if response.is_some() || request != RolloutRequest::Read {
                 calls.push(RecordedCall {
-                    asked,
+                    request,
                     sent: sent.sent,
-                    back,
+                    response,
                 });
             }
         }
@@ -694,11 +713,13 @@
     }
 
     /// One rollout of a service at a time, and each ends before the next begins.
-    fn one_at_a_time(&self, of: &str) {
+    fn check_one_rollout_at_a_time(&self, of: &str) {
         let mut under_way = None;
         for (index, (command, effect, _)) in &self.checks.log {
             match command {
-                Command::Order { service, .. } if service == of && *effect == Effect::Service => {
+                Command::BeginRollout { service, .. }
+                    if service == of && *effect == Effect::ServiceChanged =>
+                {
                     assert_eq!(
                         under_way,
                         None,
@@ -707,14 +728,14 @@
                     );
                     under_way = Some(*index);
                 }
-                Command::Advance {
+                Command::AdvanceRollout {
                     service,
-                    order,
-                    phase: Phase::Delivered | Phase::Returned,
-                } if service == of && *effect == Effect::Service => {
+                    id,
+                    phase: Phase::Completed | Phase::RolledBack,
+                } if service == of && *effect == Effect::ServiceChanged => {
                     assert_eq!(
                         under_way,
-                        Some(*order),
+                        Some(*id),
                         "{of}: the step at {index}\n{}",
                         self.report()
                     );
@@ -728,18 +749,18 @@
     /// No order ran twice, and none that was acknowledged was passed over: of each content, as many rollouts began by any
     /// moment as orders were sent by then at most; and for each acknowledged order there is an entry of its own time that
     /// took it.
-    fn count_runs(&self, service: &str) {
+    fn check_executions(&self, service: &str) {
         let entries = self
             .checks
             .log
             .values()
             .filter_map(|(command, effect, at)| match command {
-                Command::Order {
+                Command::BeginRollout {
                     service: s,
-                    to,
+                    target_version,
                     within,
                     ..
-                } if s == service => Some(((to.as_str(), *within), effect, *at)),
+                } if s == service => Some(((target_version.as_str(), *within), effect, *at)),
                 _ => None,
             });
         let entries: Vec<_> = entries.collect();
@@ -747,18 +768,20 @@
             .orders
             .iter()
             .enumerate()
-            .filter_map(|(i, order)| match &order.asked {
-                Asked::Begin {
+            .filter_map(|(i, order)| match &order.request {
+                OperatorRequest::BeginRollout {
                     service: s,
-                    to,
+                    target_version,
                     within,
-                } if *s == service => Some((i, (to.as_str(), *within), order.first_sent)),
+                } if *s == service => {
+                    Some((i, (target_version.as_str(), *within), order.first_sent))
+                }
                 _ => None,
             });
         let orders: Vec<_> = orders.collect();
         for (content, _, at) in &entries {
             let ran = |(c, e, a): &&((&str, u64), &Effect, Micros)| {
-                c == content && **e == Effect::Service && a <= at
+                c == content && **e == Effect::ServiceChanged && a <= at
             };
             let ran = entries.iter().filter(ran).count();
             let sent = orders
@@ -776,14 +799,14 @@
             let taken = |s: &&Sent| {
                 s.back
                     .as_ref()
-                    .is_some_and(|(_, answer)| *answer == Answer::Taken)
+                    .is_some_and(|(_, answer)| *answer == OperatorResponse::Accepted)
             };
             let Some(first) = self.sent.values().filter(of).find(taken) else {
                 continue;
             };
             let acknowledged = first.back.as_ref().map_or(0, |(at, _)| *at);
             let its = |(c, e, at): &&((&str, u64), &Effect, Micros)| {
-                c == content && e.is_taken() && (first_sent..=&acknowledged).contains(&at)
+                c == content && e.is_accepted() && (first_sent..=&acknowledged).contains(&at)
             };
             let taken = entries.iter().find(its);
             assert!(
@@ -793,8 +816,8 @@
         }
     }
 
-    fn called(&self) -> WorkloadTotals {
-        let answered = |wanted: fn(&Answer) -> bool| {
+    fn totals(&self) -> WorkloadTotals {
+        let answered = |wanted: fn(&OperatorResponse) -> bool| {
             let answers = self.sent.values().filter_map(|s| s.back.as_ref());
             answers.filter(|(_, answer)| wanted(answer)).count() as u64
         };
@@ -802,13 +825,20 @@
         WorkloadTotals {
             steps: self.simulator.steps(),
             calls: self.sent.len() as u64,
-            taken: answered(|a| *a == Answer::Taken),
-            refused: answered(|a| *a == Answer::Refused),
-            reads: answered(|a| matches!(a, Answer::Edition(_) | Answer::Rollout(_))),
+            accepted: answered(|a| *a == OperatorResponse::Accepted),
+            rejected: answered(|a| *a == OperatorResponse::Conflict),
+            reads: answered(|a| {
+                matches!(
+                    a,
+                    OperatorResponse::Config(_) | OperatorResponse::Rollout(_)
+                )
+            }),
             unanswered: self.sent.values().filter(|s| s.back.is_none()).count() as u64,
             entries: self.checks.log.len() as u64,
             rollouts: effects
-                .filter(|(c, e, _)| matches!(c, Command::Order { .. }) && *e == Effect::Service)
+                .filter(|(c, e, _)| {
+                    matches!(c, Command::BeginRollout { .. }) && *e == Effect::ServiceChanged
+                })
                 .count() as u64,
             faults: self.faults.len() as u64,
             wipes: self
--- a/tools/raft-simulation/tests/contact/machines.rs
+++ b/tools/raft-simulation/tests/contact/machines.rs
@@ -3,12 +3,14 @@
 
 use crate::pipe::{Pipe, Segment};
 use bytes::Bytes;
-use magpieline_control_plane::config_receiver::{Intake, Taken};
-use magpieline_control_plane::config_sender::{self, Feeds};
-use magpieline_control_plane::controller_client::{self, Tendril};
-use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Hello, Report, Up};
-use magpieline_control_plane::proxy_registry::Roster;
-use magpieline_control_plane::state_machine::{Command, Kept, Records};
+use magpieline_control_plane::config_receiver::{ConfigReceiver, Received};
+use magpieline_control_plane::config_sender::{self, ConfigSender};
+use magpieline_control_plane::controller_client::{self, ControllerClient};
+use magpieline_control_plane::messages::{
+    decode_frame, encode_frame, ControllerMessage, Fenced, Hello, ProxyMessage, Report,
+};
+use magpieline_control_plane::proxy_registry::ProxyRegistry;
+use magpieline_control_plane::state_machine::{Command, ControlState, StoredConfig};
 use magpieline_raft::{
     Action, Config, Envelope, Event, Outcome, PersistentState, RaftNode, Role, Term, WriteBatch,
 };
@@ -48,9 +50,9 @@
 pub struct Sorting {
     address: SocketAddrV4,
     core: RaftNode,
-    records: Records,
-    roster: Roster,
-    feeds: Feeds,
+    records: ControlState,
+    registry: ProxyRegistry,
+    config_sender: ConfigSender,
     links: BTreeMap<u64, (SocketAddrV4, Pipe)>,
     /// Counters that wait for a read, with the term in which it was asked.
     asked: BTreeMap<u64, (u64, Hello, Option<Term>)>,
@@ -67,10 +69,10 @@
     next_link: u64,
     /// The clock at the last step.
     pub now: Micros,
-    pub tendril: Tendril,
+    pub controller_client: ControllerClient,
     pub edition: u64,
-    kept: Option<Kept>,
-    intake: Intake,
+    config: Option<StoredConfig>,
+    config_receiver: ConfigReceiver,
     link: Option<(u64, SocketAddrV4, Pipe)>,
     welcomed: bool,
 }
@@ -103,11 +105,11 @@
                 }),
                 Action::Apply { index, command } => {
                     self.records
-                        .apply(index, &Command::unpack(&command).expect("ours"));
+                        .apply(index, &Command::decode(&command).expect("encoded here"));
                     self.newest(now, effects);
                 }
                 Action::Restore { state, .. } => {
-                    self.records = Records::unpack(&state).expect("ours");
+                    self.records = ControlState::decode(&state).expect("encoded here");
                     self.newest(now, effects);
                 }
                 Action::Complete {
@@ -117,14 +119,14 @@
             }
         }
         // As the driver shows it, before anybody acts on the outcomes.
-        if self.roster.leads_in(self.leading()) {
+        if self.registry.set_leadership(self.leading()) {
             for (link, (to, _)) in std::mem::take(&mut self.links) {
                 self.say(to, link, Segment::Reset, effects);
             }
             self.welcomes.clear();
             self.feed(
                 now,
-                config_sender::Event::Leads {
+                config_sender::Event::LeadershipChanged {
                     term: self.leading(),
                 },
                 effects,
@@ -146,15 +148,15 @@
         if self.core.should_compact() {
             let event = Event::Compact {
                 index: self.core.applied_index(),
-                state: self.records.pack(),
+                state: self.records.encode(),
             };
             self.event(now, event, effects);
         }
     }
 
     fn newest(&mut self, now: Micros, effects: &mut Effects) {
-        if let Some(kept) = self.records.edition.clone() {
-            self.feed(now, config_sender::Event::Edition(kept), effects);
+        if let Some(config) = self.records.config.clone() {
+            self.feed(now, config_sender::Event::NewConfig(config), effects);
         }
     }
 
@@ -172,7 +174,7 @@
             .iter()
             .map(|node_id| node_id.address)
             .collect();
-        match confirmed.filter(|term| self.roster.hello(now, link, *term, &hello)) {
+        match confirmed.filter(|term| self.registry.register(now, link, *term, &hello)) {
             Some(term) => {
                 let services = self.records.services.clone().into_iter().collect();
                 self.tell(
@@ -180,23 +182,23 @@
                     link,
                     Fenced {
                         term,
-                        word: Down::Services(services),
+                        message: ControllerMessage::Services(services),
                     },
                     effects,
                 );
-                let counters = self.roster.count(now);
-                let word = Down::Welcome {
-                    core,
-                    counters,
-                    asked: hello.at,
+                let counters = self.registry.count(now);
+                let message = ControllerMessage::Welcome {
+                    controllers: core,
+                    proxies: counters,
+                    confirmed_at: hello.sent_at,
                 };
                 self.welcomes
-                    .insert(link, frame(&Fenced { term, word }).into());
+                    .insert(link, encode_frame(&Fenced { term, message }).into());
                 self.feed(
                     now,
                     config_sender::Event::Opened {
-                        link,
-                        held: hello.edition,
+                        session: link,
+                        version: hello.config_version,
                     },
                     effects,
                 );
@@ -205,7 +207,10 @@
                 let leader = self.core.leader().filter(|leader| *leader != self.address);
                 let told = Fenced {
                     term: self.core.term(),
-                    word: Down::Elsewhere { leader, core },
+                    message: ControllerMessage::Redirect {
+                        leader,
+                        controllers: core,
+                    },
                 };
                 // The counter ends the link.
                 self.tell(now, link, told, effects);
@@ -213,8 +218,14 @@
         }
     }
 
-    fn tell(&mut self, now: Micros, link: u64, told: Fenced<Down>, effects: &mut Effects) {
-        self.tell_frame(now, link, frame(&told).into(), effects);
+    fn tell(
+        &mut self,
+        now: Micros,
+        link: u64,
+        told: Fenced<ControllerMessage>,
+        effects: &mut Effects,
+    ) {
+        self.tell_frame(now, link, encode_frame(&told).into(), effects);
     }
 
     fn tell_frame(&mut self, now: Micros, link: u64, bytes: Bytes, effects: &mut Effects) {
@@ -237,26 +248,27 @@
     }
 
     fn feed(&mut self, now: Micros, event: config_sender::Event, effects: &mut Effects) {
-        for action in self.feeds.step(now, event) {
+        for action in self.config_sender.step(now, event) {
             match action {
-                config_sender::Action::Send { link, frame } => {
-                    self.tell_frame(now, link, frame, effects)
-                }
-                config_sender::Action::Current { link } => {
+                config_sender::Action::Send {
+                    session: link,
+                    frame,
+                } => self.tell_frame(now, link, frame, effects),
+                config_sender::Action::UpToDate { session: link } => {
                     if let Some(welcome) = self.welcomes.remove(&link) {
                         self.tell_frame(now, link, welcome, effects);
                     }
                 }
-                config_sender::Action::InForce { .. } => {}
+                config_sender::Action::Applied { .. } => {}
             }
         }
     }
 
     fn let_go(&mut self, now: Micros, link: u64, effects: &mut Effects) {
         if self.links.remove(&link).is_some() {
-            self.roster.closed(link);
+            self.registry.on_closed(link);
             self.welcomes.remove(&link);
-            self.feed(now, config_sender::Event::Closed { link }, effects);
+            self.feed(now, config_sender::Event::Closed { session: link }, effects);
         }
     }
 
@@ -288,8 +300,8 @@
                 let (frames, ack) = pipe.take(place, bytes);
                 self.say(from, link, ack, effects);
                 for bytes in frames {
-                    let up = unframe::<Up>(&mut bytes.to_vec())
-                        .expect("ours")
+                    let up = decode_frame::<ProxyMessage>(&mut bytes.to_vec())
+                        .expect("encoded here")
                         .expect("whole");
                     self.heard(now, link, up, effects);
                 }
@@ -298,47 +310,60 @@
         }
     }
 
-    fn heard(&mut self, now: Micros, link: u64, up: Up, effects: &mut Effects) {
+    fn heard(&mut self, now: Micros, link: u64, up: ProxyMessage, effects: &mut Effects) {
         match up {
-            Up::Hello(hello) => {
+            ProxyMessage::Hello(hello) => {
                 self.next_ticket += 1;
                 let request_id = self.next_ticket;
                 self.asked.insert(request_id, (link, hello, self.leading()));
                 self.event(now, Event::Read { request_id }, effects);
             }
-            Up::Report(report) => {
-                if !self.roster.report(now, link, report) {
+            ProxyMessage::Report(report) => {
+                if !self.registry.on_report(now, link, report) {
                     let to = self.links.get(&link).map(|(to, _)| *to);
                     self.let_go(now, link, effects);
                     to.into_iter()
                         .for_each(|to| self.say(to, link, Segment::Reset, effects));
                 }
             }
-            Up::Got { number, upto } => self.feed(
+            ProxyMessage::ChunkReceived { version, received } => self.feed(
                 now,
-                config_sender::Event::Got { link, number, upto },
+                config_sender::Event::ChunkReceived {
+                    session: link,
+                    version,
+                    received,
+                },
+                effects,
+            ),
+            ProxyMessage::ConfigApplied { version } => self.feed(
+                now,
+                config_sender::Event::ConfigApplied {
+                    session: link,
+                    version,
+                },
                 effects,
             ),
-            Up::Holds { edition } => {
-                self.feed(now, config_sender::Event::Holds { link, edition }, effects)
-            }
         }
     }
 
     fn tick(&mut self, now: Micros, effects: &mut Effects) {
         if now >= self.beat_at {
             self.beat_at = now + BEAT;
-            if let (true, Some(term)) = (self.core.holds_lease(now), self.roster.term()) {
-                let counters = self.roster.count(now);
-                let edition = self.records.edition.as_ref().map_or(0, |kept| kept.number);
-                let asked: Vec<(u64, Micros)> = self.roster.asked().collect();
+            if let (true, Some(term)) = (self.core.holds_lease(now), self.registry.term()) {
+                let counters = self.registry.count(now);
+                let edition = self
+                    .records
+                    .config
+                    .as_ref()
+                    .map_or(0, |config| config.version);
+                let asked: Vec<(u64, Micros)> = self.registry.report_times().collect();
                 for (link, asked) in asked {
-                    let word = Down::Beat {
-                        counters,
-                        asked,
-                        edition,
+                    let message = ControllerMessage::Heartbeat {
+                        proxies: counters,
+                        confirmed_at: asked,
+                        config_version: edition,
                     };
-                    self.tell(now, link, Fenced { term, word }, effects);
+                    self.tell(now, link, Fenced { term, message }, effects);
                 }
                 self.feed(now, config_sender::Event::Tick, effects);
             }
@@ -367,46 +392,46 @@
         &mut self,
         now: Micros,
         actions: Vec<controller_client::Action>,
-        word: Option<&Down>,
+        word: Option<&ControllerMessage>,
         effects: &mut Effects,
     ) {
         for action in actions {
             let up = match action {
-                controller_client::Action::Dial(to) => {
+                controller_client::Action::Connect(to) => {
                     self.next_link += 1;
-                    self.intake = Intake::default();
+                    self.config_receiver = ConfigReceiver::default();
                     self.link = Some((self.incarnation ^ self.next_link, to, Pipe::default()));
                     self.say(Segment::Open, effects);
                     continue;
                 }
-                controller_client::Action::HangUp => {
+                controller_client::Action::Disconnect => {
                     self.say(Segment::Reset, effects);
                     self.link = None;
                     continue;
                 }
-                controller_client::Action::Hello => Up::Hello(Hello {
+                controller_client::Action::SendHello => ProxyMessage::Hello(Hello {
                     node: self.address.to_string(),
                     zone: "z".into(),
                     incarnation: self.incarnation,
-                    edition: self.edition,
-                    term: self.tendril.term(),
-                    at: now,
+                    config_version: self.edition,
+                    term: self.controller_client.term(),
+                    sent_at: now,
                 }),
-                controller_client::Action::Report => {
-                    let (edition, term) = (self.edition, self.tendril.term());
-                    Up::Report(Report {
-                        edition,
+                controller_client::Action::SendReport => {
+                    let (edition, term) = (self.edition, self.controller_client.term());
+                    ProxyMessage::Report(Report {
+                        config_version: edition,
                         evidence: Vec::new(),
                         term,
-                        at: now,
+                        sent_at: now,
                     })
                 }
-                controller_client::Action::Take => {
+                controller_client::Action::Accept => {
                     effects.push(Effect::Observation(Observation::Took {
-                        term: self.tendril.term(),
+                        term: self.controller_client.term(),
                     }));
                     let answer = word.and_then(|word| self.take(word));
-                    self.tendril.in_force(self.edition);
+                    self.controller_client.set_config_version(self.edition);
                     match answer {
                         Some(up) => up,
                         None => continue,
@@ -414,28 +439,28 @@
                 }
             };
             if let Some((_, _, pipe)) = &mut self.link {
-                let segment = pipe.send(now, frame(&up).into());
+                let segment = pipe.send(now, encode_frame(&up).into());
                 self.say(segment, effects);
             }
         }
     }
 
-    fn take(&mut self, word: &Down) -> Option<Up> {
+    fn take(&mut self, word: &ControllerMessage) -> Option<ProxyMessage> {
         match word {
-            Down::Welcome { .. } => self.welcomed = true,
-            Down::Piece(piece) => {
-                let taken = self.intake.take(self.kept.as_ref(), piece);
-                if let Taken::More(upto) = taken {
-                    return Some(Up::Got {
-                        number: piece.number,
-                        upto,
+            ControllerMessage::Welcome { .. } => self.welcomed = true,
+            ControllerMessage::ConfigChunk(piece) => {
+                let taken = self.config_receiver.receive(self.config.as_ref(), piece);
+                if let Received::Incomplete(received) = taken {
+                    return Some(ProxyMessage::ChunkReceived {
+                        version: piece.version,
+                        received,
                     });
                 }
-                if let Taken::Whole(kept) = taken {
-                    (self.edition, self.kept) = (kept.number, Some(kept));
+                if let Received::Complete(config) = taken {
+                    (self.edition, self.config) = (config.version, Some(config));
                 }
-                return Some(Up::Holds {
-                    edition: self.edition,
+                return Some(ProxyMessage::ConfigApplied {
+                    version: self.edition,
                 });
             }
             _ => {}
@@ -455,7 +480,7 @@
     }
 
     fn event(&mut self, now: Micros, event: controller_client::Event, effects: &mut Effects) {
-        let actions = self.tendril.step(now, event);
+        let actions = self.controller_client.step(now, event);
         self.act(now, actions, None, effects);
     }
 
@@ -464,10 +489,10 @@
             return;
         };
         match segment {
-            Segment::Opened => self.event(now, controller_client::Event::Opened, effects),
+            Segment::Opened => self.event(now, controller_client::Event::Connected, effects),
             Segment::Reset => {
                 self.link = None;
-                self.event(now, controller_client::Event::Closed, effects);
+                self.event(now, controller_client::Event::Disconnected, effects);
             }
             Segment::Ack { upto } => pipe.acked(now, upto),
             Segment::Frame { place, bytes } => {
@@ -478,13 +503,13 @@
                     if self.link.as_ref().is_none_or(|(own, ..)| *own != link) {
                         return;
                     }
-                    let told = unframe::<Fenced<Down>>(&mut bytes.to_vec())
-                        .expect("ours")
+                    let told = decode_frame::<Fenced<ControllerMessage>>(&mut bytes.to_vec())
+                        .expect("encoded here")
                         .expect("whole");
                     let actions = self
-                        .tendril
-                        .step(now, controller_client::Event::Heard(&told));
-                    self.act(now, actions, Some(&told.word), effects);
+                        .controller_client
+                        .step(now, controller_client::Event::Received(&told));
+                    self.act(now, actions, Some(&told.message), effects);
                 }
             }
             Segment::Open => {}
@@ -498,7 +523,7 @@
                 .for_each(|segment| self.say(segment, effects)),
             Some(None) => {
                 self.link = None;
-                self.event(now, controller_client::Event::Closed, effects);
+                self.event(now, controller_client::Event::Disconnected, effects);
             }
             None => {}
         }
@@ -556,9 +581,9 @@
             let mut sorting = Sorting {
                 address,
                 core,
-                records: Records::default(),
-                roster: Roster::default(),
-                feeds: Feeds::default(),
+                records: ControlState::default(),
+                registry: ProxyRegistry::default(),
+                config_sender: ConfigSender::default(),
                 links: BTreeMap::new(),
                 asked: BTreeMap::new(),
                 sent: BTreeMap::new(),
@@ -574,10 +599,10 @@
             incarnation: seed,
             next_link: 0,
             now,
-            tendril: Tendril::new(now, seeds, seed as usize % 1000),
+            controller_client: ControllerClient::new(now, seeds, seed as usize % 1000),
             edition: 0,
-            kept: None,
-            intake: Intake::default(),
+            config: None,
+            config_receiver: ConfigReceiver::default(),
             link: None,
             welcomed: false,
         };
@@ -614,11 +639,11 @@
                         // Some take one piece, some several.
                         let text =
                             format!("{number} ").repeat(if number % 3 == 0 { 9_000 } else { 9 });
-                        let command = Command::Replace(Kept {
-                            number,
+                        let command = Command::ReplaceConfig(StoredConfig {
+                            version: number,
                             text: text.into(),
                         })
-                        .pack();
+                        .encode();
                         sorting.event(
                             now,
                             Event::Propose {
@@ -653,7 +678,9 @@
             }
             Machine::Counter(counter) => {
                 let pipe = counter.link.as_ref().and_then(|(_, _, pipe)| pipe.due());
-                pipe.into_iter().chain([counter.tendril.next()]).min()
+                pipe.into_iter()
+                    .chain([counter.controller_client.next_wake()])
+                    .min()
             }
         }
     }
--- a/tools/raft-simulation/tests/contact/main.rs
+++ b/tools/raft-simulation/tests/contact/main.rs
@@ -71,7 +71,7 @@
         );
         // Clocks run up to a thousandth too fast: that much longer ago is sure.
         let ago = |at: Micros| self.now.saturating_sub(counter.now - at);
-        let confirmed = counter.tendril.confirmed_at();
+        let confirmed = counter.controller_client.confirmed_at();
         if let Some(at) = confirmed {
             let newest = self.newest(ago(at));
             assert!(
@@ -85,9 +85,9 @@
             !counter.knows() || confirmed.is_some(),
             "counter {machine} serves by what nobody confirmed"
         );
-        if counter.tendril.holds(counter.now) {
+        if counter.controller_client.is_following(counter.now) {
             let (term, since) = (
-                counter.tendril.term(),
+                counter.controller_client.term(),
                 self.now.saturating_sub(FRESH + FRESH / 500),
             );
             let newer = self
@@ -175,7 +175,9 @@
             self.counter(machine).is_some_and(|counter| {
                 counter.knows()
                     && counter.edition >= newest
-                    && counter.tendril.holds(self.simulator.clock(machine))
+                    && counter
+                        .controller_client
+                        .is_following(self.simulator.clock(machine))
             })
         })
     }
@@ -296,7 +298,11 @@
         );
         let now = hall.simulator.clock(stuck);
         assert!(
-            !hall.counter(stuck).expect("it runs").tendril.holds(now),
+            !hall
+                .counter(stuck)
+                .expect("it runs")
+                .controller_client
+                .is_following(now),
             "it holds a leader of the past"
         );
         assert!(!hall.is_acknowledged(refused) || hall.checks.newest(Micros::MAX) >= newest);
--- a/tools/raft-simulation/tests/operator_workload.rs
+++ b/tools/raft-simulation/tests/operator_workload.rs
@@ -10,6 +10,6 @@
     for seed in part * 6..part * 6 + 6 {
         // A failure says its seed: raft-simulation operators --seeds SEED..SEED+1 --machines MACHINES --steps 10000
         println!("seed {seed}, {machines} machines, 10000 steps");
-        OperatorWorkload::open(seed, machines).play(10_000);
+        OperatorWorkload::new(seed, machines).run(10_000);
     }
 }
