--- a/tools/scale-test/src/main.rs
+++ b/tools/scale-test/src/main.rs
@@ -1,25 +1,27 @@
-//! Control at the size to design for: one leader's sending core and as many counters' receiving cores, in one process and
-//! without a network. Counters are hollow: they hold on to one text together, but each takes in what it is told by itself,
-//! and acknowledges it. Printed: processor time of one core, bytes, memory. `docs/CAPACITY.md` says what follows.
+//! The control plane at the size to design for: one leader's sending state machine and as many proxies' receiving ones, in one
+//! process and without a network. The proxies share one text, but each receives its chunks by itself and acknowledges them.
+//! Printed: processor time of one core, bytes, memory. `docs/CAPACITY.md` says what follows.
 
 mod texts;
 
 use gumdrop::Options;
-use magpieline_config::gateway_config::Edition;
-use magpieline_control_plane::config_receiver::{Intake, Taken};
-use magpieline_control_plane::config_sender::{Action, Event, Feeds};
-use magpieline_control_plane::messages::{frame, unframe, Down, Fenced, Hello, Listing, Report};
-use magpieline_control_plane::proxy_registry::Roster;
-use magpieline_control_plane::state_machine::{Command, Kept};
+use magpieline_config::gateway_config::GatewayConfig;
+use magpieline_control_plane::config_receiver::{ConfigReceiver, Received};
+use magpieline_control_plane::config_sender::{Action, ConfigSender, Event};
+use magpieline_control_plane::messages::{
+    decode_frame, encode_frame, ControllerMessage, EndpointUpdate, Fenced, Hello, Report,
+};
+use magpieline_control_plane::proxy_registry::ProxyRegistry;
+use magpieline_control_plane::state_machine::{Command, StoredConfig};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 #[derive(Options)]
-struct Asked {
+struct Arguments {
     #[options(help = "print this")]
     help: bool,
-    #[options(help = "counters", default = "1400")]
-    counters: usize,
+    #[options(help = "proxies", default = "1400")]
+    proxies: usize,
     #[options(help = "routes of the configuration", default = "37000")]
     routes: usize,
     #[options(
@@ -29,12 +31,12 @@
     change: usize,
     #[options(help = "services", default = "360")]
     services: usize,
-    #[options(help = "appliances", default = "22000")]
-    appliances: usize,
+    #[options(help = "endpoints", default = "22000")]
+    endpoints: usize,
 }
 
-/// Milliseconds that this process has had of a processor.
-fn spent() -> f64 {
+/// Returns the milliseconds that this process has had of a processor.
+fn processor_ms() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     stat.split(' ')
         .next()
@@ -43,8 +45,8 @@
         / 1e6
 }
 
-/// MB of memory in use.
-fn memory() -> f64 {
+/// Returns the MB of memory in use.
+fn memory_mb() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     stat.split(' ')
         .nth(1)
@@ -54,274 +56,292 @@
         / 1e6
 }
 
-/// Runs a part and tells what it took; the median of so many.
-fn timed<T>(name: &str, times: usize, mut run: impl FnMut() -> T) -> T {
+/// Runs a part so many times and prints the median of what it took.
+fn measure<T>(name: &str, times: usize, mut run: impl FnMut() -> T) -> T {
     let (mut all, mut made) = (Vec::new(), None);
     for _ in 0..times {
-        let began = spent();
+        let began = processor_ms();
         made = Some(run());
-        all.push(spent() - began);
+        all.push(processor_ms() - began);
     }
     all.sort_by(f64::total_cmp);
     println!("{name:<66} {:>10.3} ms", all[times / 2]);
     made.expect("run at least once")
 }
 
-fn told(name: &str, value: f64, unit: &str) {
+fn print_value(name: &str, value: f64, unit: &str) {
     println!("{name:<66} {value:>10.1} {unit}");
 }
 
-/// What one edition took on its way to all counters.
+/// What one configuration took on its way to all proxies.
 #[derive(Default)]
-struct Spread {
+struct Distribution {
     leader_ms: f64,
-    counters_ms: f64,
+    proxies_ms: f64,
     frames: usize,
     bytes: usize,
-    most_flying: usize,
+    max_in_flight: usize,
 }
 
-/// Brings an edition to all counters, each holding `held`, and back what they acknowledge.
-fn spread(
-    feeds: &mut Feeds,
-    intakes: &mut [Intake],
-    held: Option<&Kept>,
+/// Sends a configuration to all proxies, each of which has `current`, and back what they acknowledge.
+fn distribute(
+    sender: &mut ConfigSender,
+    receivers: &mut [ConfigReceiver],
+    current: Option<&StoredConfig>,
     events: Vec<Event>,
-) -> Spread {
-    let (mut spread, mut next): (Spread, VecDeque<Event>) = (Spread::default(), events.into());
+) -> Distribution {
+    let (mut distribution, mut next): (Distribution, VecDeque<Event>) =
+        (Distribution::default(), events.into());
     let mut now = 0;
     while let Some(event) = next.pop_front() {
         now += 10;
-        let began = spent();
-        let actions = feeds.step(now, event);
-        let sent = spent();
-        spread.leader_ms += sent - began;
-        spread.most_flying = spread.most_flying.max(feeds.flying());
+        let began = processor_ms();
+        let actions = sender.step(now, event);
+        let sent = processor_ms();
+        distribution.leader_ms += sent - began;
+        distribution.max_in_flight = distribution.max_in_flight.max(sender.in_flight());
         for action in actions {
-            let Action::Send { link, frame } = action else {
+            let Action::Send { session, frame } = action else {
                 continue;
             };
-            spread.frames += 1;
-            spread.bytes += frame.len();
+            distribution.frames += 1;
+            distribution.bytes += frame.len();
             let Ok(Some(Fenced {
-                word: Down::Piece(piece),
+                message: ControllerMessage::ConfigChunk(chunk),
                 ..
-            })) = unframe::<Fenced<Down>>(&mut frame.to_vec())
+            })) = decode_frame::<Fenced<ControllerMessage>>(&mut frame.to_vec())
             else {
                 panic!("a piece was sent")
             };
-            next.push_back(match intakes[link as usize].take(held, &piece) {
-                Taken::More(upto) => Event::Got {
-                    link,
-                    number: piece.number,
-                    upto,
+            next.push_back(match receivers[session as usize].receive(current, &chunk) {
+                Received::Incomplete(received) => Event::ChunkReceived {
+                    session,
+                    version: chunk.version,
+                    received,
                 },
-                Taken::Whole(kept) => Event::Holds {
-                    link,
-                    edition: kept.number,
+                Received::Complete(config) => Event::ConfigApplied {
+                    session,
+                    version: config.version,
                 },
                 other => panic!("{other:?}"),
             });
         }
-        spread.counters_ms += spent() - sent;
+        distribution.proxies_ms += processor_ms() - sent;
     }
-    spread
+    distribution
 }
 
-fn show(name: &str, spread: &Spread, counters: usize) {
-    println!("{name}, to {counters} counters:");
-    told("  leader: processor time", spread.leader_ms, "ms");
-    told("  leader: bytes", spread.bytes as f64 / 1e3, "KB");
-    told(
+fn print_distribution(name: &str, distribution: &Distribution, proxies: usize) {
+    println!("{name}, to {proxies} proxies:");
+    print_value("  leader: processor time", distribution.leader_ms, "ms");
+    print_value("  leader: bytes", distribution.bytes as f64 / 1e3, "KB");
+    print_value(
         "  leader: most bytes on their way at once",
-        spread.most_flying as f64 / 1e3,
+        distribution.max_in_flight as f64 / 1e3,
         "KB",
     );
-    told("  leader: frames", spread.frames as f64, "");
-    told(
-        "  each counter: processor time to put it together",
-        spread.counters_ms / counters as f64,
+    print_value("  leader: frames", distribution.frames as f64, "");
+    print_value(
+        "  each proxy: processor time to put it together",
+        distribution.proxies_ms / proxies as f64,
         "ms",
     );
-    told(
-        "  each counter: bytes",
-        spread.bytes as f64 / counters as f64,
+    print_value(
+        "  each proxy: bytes",
+        distribution.bytes as f64 / proxies as f64,
         "bytes",
     );
 }
 
-fn fenced(listing: Listing) -> Fenced<Down> {
+fn fenced(update: EndpointUpdate) -> Fenced<ControllerMessage> {
     Fenced {
         term: 1,
-        word: Down::Listing(listing),
+        message: ControllerMessage::Endpoints(update),
     }
 }
 
 fn main() {
-    let asked = Asked::parse_args_default_or_exit();
-    let texts = texts::Texts::new(asked.services);
-    let mut routes = texts.routes(1, asked.routes);
+    let arguments = Arguments::parse_args_default_or_exit();
+    let texts = texts::Texts::new(arguments.services);
+    let mut routes = texts.routes(1, arguments.routes);
     let text =
         |number, routes: &[String]| -> Arc<str> { texts.configuration(number, routes).into() };
-    let first = Kept {
-        number: 1,
+    let first = StoredConfig {
+        version: 1,
         text: text(1, &routes),
     };
-    for i in 0..asked.change {
+    for i in 0..arguments.change {
         routes[i * 7] = routes[i * 7].replace("\"tries\":2", "\"tries\":3");
     }
-    routes.extend(texts.routes(2, asked.change));
-    let second = Kept {
-        number: 2,
+    routes.extend(texts.routes(2, arguments.change));
+    let second = StoredConfig {
+        version: 2,
         text: text(2, &routes),
     };
-    told("configuration", second.text.len() as f64 / 1e3, "KB");
+    print_value("configuration", second.text.len() as f64 / 1e3, "KB");
     let large = text(3, &{
         let mut large = routes.clone();
-        large.extend(texts.routes(3, asked.routes / 10));
+        large.extend(texts.routes(3, arguments.routes / 10));
         large
     });
 
-    println!("\nan operator's machine");
-    let base = memory();
-    let before = timed("  reads a configuration after none", 1, || {
-        Edition::read_after(&first.text, None).expect("sound")
+    println!("\na controller");
+    let base = memory_mb();
+    let before = measure("  reads a configuration after none", 1, || {
+        GatewayConfig::parse_after(&first.text, None).expect("sound")
     });
-    told("  memory after it, on top, at most", memory() - base, "MB");
-    let after = || Edition::read_after(&second.text, Some(&before)).expect("sound");
-    timed("  reads a change after the one before", 5, after);
-    let command = timed("  packs it for the log", 5, || {
-        Command::Replace(second.clone()).pack()
+    print_value(
+        "  memory after it, on top, at most",
+        memory_mb() - base,
+        "MB",
+    );
+    let after = || GatewayConfig::parse_after(&second.text, Some(&before)).expect("sound");
+    measure("  reads a change after the one before", 5, after);
+    let command = measure("  packs it for the log", 5, || {
+        Command::ReplaceConfig(second.clone()).encode()
     });
-    told(
+    print_value(
         "  bytes in the log, and to each other machine",
         command.len() as f64 / 1e3,
         "KB",
     );
-    timed("  reads it from the log", 5, || {
-        Command::unpack(&command).expect("packed here")
+    measure("  reads it from the log", 5, || {
+        Command::decode(&command).expect("packed here")
     });
 
-    println!("\neditions");
-    let mut intakes: Vec<Intake> = (0..asked.counters).map(|_| Intake::default()).collect();
-    let mut feeds = Feeds::default();
-    feeds.step(0, Event::Edition(first.clone()));
-    (0..asked.counters as u64).for_each(|link| _ = feeds.step(0, Event::Opened { link, held: 1 }));
-    let change = spread(
-        &mut feeds,
-        &mut intakes,
+    println!("\nconfigurations");
+    let mut receivers: Vec<ConfigReceiver> = (0..arguments.proxies)
+        .map(|_| ConfigReceiver::default())
+        .collect();
+    let mut sender = ConfigSender::default();
+    sender.step(0, Event::NewConfig(first.clone()));
+    (0..arguments.proxies as u64).for_each(|session| {
+        _ = sender.step(
+            0,
+            Event::Opened {
+                session,
+                version: 1,
+            },
+        )
+    });
+    let change = distribute(
+        &mut sender,
+        &mut receivers,
         Some(&first),
-        vec![Event::Edition(second.clone())],
+        vec![Event::NewConfig(second.clone())],
     );
-    show("a change", &change, asked.counters);
-    let large = Kept {
-        number: 3,
+    print_distribution("a change", &change, arguments.proxies);
+    let large = StoredConfig {
+        version: 3,
         text: large,
     };
-    let grown = spread(
-        &mut feeds,
-        &mut intakes,
+    let grown = distribute(
+        &mut sender,
+        &mut receivers,
         Some(&second),
-        vec![Event::Edition(large.clone())],
+        vec![Event::NewConfig(large.clone())],
     );
-    show("a tenth more routes", &grown, asked.counters);
-    let mut anew = Feeds::default();
-    anew.step(0, Event::Edition(large));
-    let opened = (0..asked.counters as u64)
-        .map(|link| Event::Opened { link, held: 0 })
+    print_distribution("a tenth more routes", &grown, arguments.proxies);
+    let mut anew = ConfigSender::default();
+    anew.step(0, Event::NewConfig(large));
+    let opened = (0..arguments.proxies as u64)
+        .map(|session| Event::Opened {
+            session,
+            version: 0,
+        })
         .collect();
-    show(
+    print_distribution(
         "the whole",
-        &spread(&mut anew, &mut intakes, None, opened),
-        asked.counters,
+        &distribute(&mut anew, &mut receivers, None, opened),
+        arguments.proxies,
     );
-    told(
+    print_value(
         "  leader: memory of texts and what is told",
-        feeds.kept_bytes() as f64 / 1e6,
+        sender.memory_bytes() as f64 / 1e6,
         "MB",
     );
 
-    println!("\nthe list of {} appliances", asked.appliances);
-    let list = texts.list(asked.appliances);
-    let whole = fenced(Listing {
-        whole: true,
-        entries: list.clone(),
+    println!("\nthe list of {} endpoints", arguments.endpoints);
+    let list = texts.endpoints(arguments.endpoints);
+    let whole = fenced(EndpointUpdate {
+        is_full: true,
+        endpoints: list.clone(),
     });
-    let said = timed("  leader: the whole as a frame, once for all", 5, || {
-        frame(&whole)
+    let said = measure("  leader: the whole as a frame, once for all", 5, || {
+        encode_frame(&whole)
     });
-    told(
-        "  each counter: bytes of the whole",
+    print_value(
+        "  each proxy: bytes of the whole",
         said.len() as f64 / 1e3,
         "KB",
     );
-    timed("  each counter: reads the whole", 5, || {
-        unframe::<Fenced<Down>>(&mut said.clone()).expect("ours")
+    measure("  each proxy: reads the whole", 5, || {
+        decode_frame::<Fenced<ControllerMessage>>(&mut said.clone()).expect("encoded here")
     });
-    let some = fenced(Listing {
-        whole: false,
-        entries: list[..list.len().min(20)].to_vec(),
+    let some = fenced(EndpointUpdate {
+        is_full: false,
+        endpoints: list[..list.len().min(20)].to_vec(),
     });
-    let said = timed("  leader: twenty that have changed, as a frame", 9, || {
-        frame(&some)
+    let said = measure("  leader: twenty that have changed, as a frame", 9, || {
+        encode_frame(&some)
     });
-    told(
-        "  each counter: bytes of twenty that have changed",
+    print_value(
+        "  each proxy: bytes of twenty that have changed",
         said.len() as f64,
         "bytes",
     );
 
     println!("\nreports");
-    let mut roster = Roster::default();
-    roster.leads_in(Some(1));
-    for link in 0..asked.counters as u64 {
-        let (node, zone) = (format!("counter-{link}"), "zone".to_owned());
-        roster.hello(
+    let mut registry = ProxyRegistry::default();
+    registry.set_leadership(Some(1));
+    for session in 0..arguments.proxies as u64 {
+        let (node, zone) = (format!("proxy-{session}"), "zone".to_owned());
+        registry.register(
             0,
-            link,
+            session,
             1,
             &Hello {
                 node,
                 zone,
-                life: 1,
-                edition: 1,
+                incarnation: 1,
+                config_version: 1,
                 term: 1,
-                at: 0,
+                sent_at: 0,
             },
         );
     }
-    timed(
-        "  leader: a report of each counter (each sends two a second)",
+    measure(
+        "  leader: a report of each proxy (each sends two a second)",
         9,
         || {
-            for link in 0..asked.counters as u64 {
-                roster.report(
+            for session in 0..arguments.proxies as u64 {
+                registry.on_report(
                     1,
-                    link,
+                    session,
                     Report {
-                        edition: 2,
+                        config_version: 2,
                         evidence: Vec::new(),
                         term: 1,
-                        at: 1,
+                        sent_at: 1,
                     },
                 );
             }
         },
     );
-    let word = Down::Beat {
-        counters: asked.counters as u32,
-        asked: 1 << 40,
-        edition: 2,
+    let message = ControllerMessage::Heartbeat {
+        proxies: arguments.proxies as u32,
+        confirmed_at: 1 << 40,
+        config_version: 2,
     };
-    let beat = frame(&Fenced { term: 1, word });
-    told(
-        "  leader: bytes of signs of life, a second",
-        beat.len() as f64 * asked.counters as f64 / 0.3 / 1e3,
+    let beat = encode_frame(&Fenced { term: 1, message });
+    print_value(
+        "  leader: bytes of heartbeats, a second",
+        beat.len() as f64 * arguments.proxies as f64 / 0.3 / 1e3,
         "KB",
     );
-    told(
+    print_value(
         "\nmemory of this process, with all that is above",
-        memory(),
+        memory_mb(),
         "MB",
     );
 }
--- a/tools/scale-test/src/texts.rs
+++ b/tools/scale-test/src/texts.rs
@@ -1,6 +1,6 @@
 //! Made-up configurations and lists.
 
-use magpieline_control_plane::messages::{Entry, State};
+use magpieline_control_plane::messages::{Endpoint, EndpointState};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddrV4;
@@ -9,38 +9,37 @@
 /// Routes in one host's list.
 const ROUTES_OF_HOST: usize = 40;
 
+/// Made-up configurations and endpoints of these services.
 pub struct Texts {
     services: Vec<String>,
 }
 
-fn word(chance: &mut ChaCha8Rng, letters: usize) -> String {
+fn word(rng: &mut ChaCha8Rng, letters: usize) -> String {
     (0..letters)
-        .map(|_| char::from(b"abcdefghijklmnopqrstuvwxyz234567"[chance.gen_range(0..32)]))
+        .map(|_| char::from(b"abcdefghijklmnopqrstuvwxyz234567"[rng.gen_range(0..32)]))
         .collect()
 }
 
 impl Texts {
+    /// Draws the names of so many services.
     pub fn new(services: usize) -> Texts {
-        let mut chance = ChaCha8Rng::seed_from_u64(0);
+        let mut rng = ChaCha8Rng::seed_from_u64(0);
         Texts {
             services: (0..services)
-                .map(|i| format!("{}{i}", word(&mut chance, 5)))
+                .map(|i| format!("{}{i}", word(&mut rng, 5)))
                 .collect(),
         }
     }
 
+    /// Draws routes, each as the text of one regulation.
     pub fn routes(&self, seed: u64, count: usize) -> Vec<String> {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let route = |_| {
-            let (name, prefix) = (word(&mut chance, 7), word(&mut chance, 9));
-            let sort = if chance.gen_bool(0.6) {
-                "safe"
-            } else {
-                "unsafe"
-            };
-            let service = &self.services[chance.gen_range(0..self.services.len())];
-            let (target, give_up) = (chance.gen_range(4..12) * 100, chance.gen_range(3..8) * 500);
-            let precedence = chance.gen_range(0..3);
+            let (name, prefix) = (word(&mut rng, 7), word(&mut rng, 9));
+            let sort = if rng.gen_bool(0.6) { "safe" } else { "unsafe" };
+            let service = &self.services[rng.gen_range(0..self.services.len())];
+            let (target, give_up) = (rng.gen_range(4..12) * 100, rng.gen_range(3..8) * 500);
+            let precedence = rng.gen_range(0..3);
             format!(
                 "{{\"name\":\"r-{name}\",\"sort\":\"{sort}\",\"target\":\"{target}ms\",\"precedence\":{precedence},\
                  \"sorting\":{{\"lane_prefix\":\"/{prefix}/\"}},\"dispatch\":{{\"service\":\"{service}\",\
@@ -50,7 +49,8 @@
         (0..count).map(route).collect()
     }
 
-    pub fn configuration(&self, number: u64, routes: &[String]) -> String {
+    /// Puts routes together to a configuration.
+    pub fn configuration(&self, version: u64, routes: &[String]) -> String {
         let wickets: Vec<String> = routes
             .chunks(ROUTES_OF_HOST)
             .enumerate()
@@ -66,31 +66,31 @@
         };
         let fleets: Vec<String> = self.services.iter().map(fleet).collect();
         let (wickets, fleets) = (wickets.join(","), fleets.join(","));
-        format!("{{\"edition\":{number},\"wickets\":[{wickets}],\"fleets\":[{fleets}]}}")
+        format!("{{\"edition\":{version},\"wickets\":[{wickets}],\"fleets\":[{fleets}]}}")
     }
 
-    /// Appliances with their ids.
-    pub fn list(&self, count: usize) -> Vec<(Arc<str>, Option<Entry>)> {
-        let mut chance = ChaCha8Rng::seed_from_u64(9);
+    /// Endpoints with their ids.
+    pub fn endpoints(&self, count: usize) -> Vec<(Arc<str>, Option<Endpoint>)> {
+        let mut rng = ChaCha8Rng::seed_from_u64(9);
         let names: Vec<Arc<str>> = self.services.iter().map(|s| s.as_str().into()).collect();
         let (zones, version): (Vec<Arc<str>>, Arc<str>) = (
             (0..11).map(|z| format!("zone-{z}").into()).collect(),
             "v1".into(),
         );
-        let entry = |i: usize| Entry {
+        let endpoint = |i: usize| Endpoint {
             service: names[i % names.len()].clone(),
             address: SocketAddrV4::new([10, (i >> 16) as u8, (i >> 8) as u8, i as u8].into(), 8080),
             zone: zones[i % zones.len()].clone(),
             version: version.clone(),
-            berths: 3,
-            state: State::Ready,
-            cold: 0,
+            concurrency: 3,
+            state: EndpointState::Ready,
+            warmup_left: 0,
         };
         (0..count)
             .map(|i| {
                 (
-                    format!("i-{:08x}", chance.gen::<u32>()).into(),
-                    Some(entry(i)),
+                    format!("i-{:08x}", rng.gen::<u32>()).into(),
+                    Some(endpoint(i)),
                 )
             })
             .collect()
