--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -19,6 +19,8 @@
 //! assert!(config.routes().find("a.example", "/y/").is_none());
 //! ```
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod diagnostic;
 pub mod durations;
 pub mod gateway_config;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -14,6 +14,8 @@
 //!
 //! No I/O and no clock: events and the time go in, actions come out.
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod codec;
 pub mod config_receiver;
 pub mod config_sender;
--- a/crates/gateway/src/commands/check.rs
+++ b/crates/gateway/src/commands/check.rs
@@ -1,7 +1,7 @@
 //! Checks files: a machine's settings (TOML) or a configuration (JSON), told apart by how they begin.
 
-use super::tables::{columns, listed, pairs};
-use super::{say, End};
+use super::tables::{columns, join, pairs};
+use super::{print, ExitStatus};
 use jzon::JsonValue as Json;
 use magpieline_config::diagnostic::Diagnostic;
 use magpieline_config::durations;
@@ -11,7 +11,7 @@
 use std::io::Read;
 
 #[derive(gumdrop::Options)]
-pub struct Options {
+pub(super) struct Options {
     #[options(help = "prints this")]
     help: bool,
     #[options(free, required, help = "the files; - is standard input")]
@@ -29,10 +29,10 @@
 
 /// What a file holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub(super) enum Kind {
     /// A machine's settings.
     Settings,
-    /// What operators send to the sorting machines.
+    /// What operators send to the controllers.
     Configuration,
 }
 
@@ -67,20 +67,20 @@
     }
 }
 
-pub fn run(options: &Options) -> Result<End, String> {
+pub(super) fn run(options: &Options) -> Result<ExitStatus, String> {
     let mut sound = true;
     for file in &options.files {
-        let (shown, good) = match read(file) {
+        let (shown, good) = match read_file(file) {
             Ok(text) => {
                 let kind = options.kind.unwrap_or(Kind::of(&text));
-                let found = examine(&text, kind, options.routes);
+                let report = check(&text, kind, options.routes);
                 (
                     if options.json {
-                        found.as_json(file)
+                        report.to_json(file)
                     } else {
-                        found.as_text(file)
+                        report.to_text(file)
                     },
-                    found.wrong.is_empty(),
+                    report.diagnostics.is_empty(),
                 )
             }
             Err(e) => {
@@ -98,13 +98,13 @@
             }
         };
         sound &= good;
-        say(&shown);
+        print(&shown);
     }
     Ok(sound.into())
 }
 
 /// A file's text, or that of standard input.
-pub fn read(file: &str) -> std::io::Result<String> {
+pub(super) fn read_file(file: &str) -> std::io::Result<String> {
     if file == "-" {
         let mut text = String::new();
         std::io::stdin().read_to_string(&mut text)?;
@@ -113,10 +113,10 @@
     std::fs::read_to_string(file)
 }
 
-/// What a check has found.
-struct Found {
+/// What a check has report.
+struct Report {
     kind: Kind,
-    wrong: Vec<Diagnostic>,
+    diagnostics: Vec<Diagnostic>,
     /// What is sound, and hardly what was meant.
     notes: Vec<String>,
     summary: Vec<(&'static str, String)>,
@@ -125,10 +125,10 @@
     routes: String,
 }
 
-fn examine(text: &str, kind: Kind, routes: bool) -> Found {
-    let mut found = Found {
+fn check(text: &str, kind: Kind, routes: bool) -> Report {
+    let mut report = Report {
         kind,
-        wrong: Vec::new(),
+        diagnostics: Vec::new(),
         notes: Vec::new(),
         summary: Vec::new(),
         json: Json::Null,
@@ -136,38 +136,39 @@
     };
     match kind {
         Kind::Settings => match NodeSettings::parse(text) {
-            Ok(machine) => {
-                (found.summary, found.json) = (machine_lines(&machine), machine_json(&machine))
+            Ok(settings) => {
+                (report.summary, report.json) =
+                    (settings_lines(&settings), settings_json(&settings))
             }
-            Err(wrong) => found.wrong = wrong,
+            Err(diagnostics) => report.diagnostics = diagnostics,
         },
         Kind::Configuration => match GatewayConfig::parse_collecting_all(text) {
             Ok(config) => {
-                (found.summary, found.json) = (config_lines(&config), config_json(&config));
-                found.notes = notes(&config);
+                (report.summary, report.json) = (config_lines(&config), config_json(&config));
+                report.notes = notes(&config);
                 if routes {
-                    found.routes = route_table(&config);
+                    report.routes = route_table(&config);
                 }
             }
-            Err(wrong) => found.wrong = wrong,
+            Err(diagnostics) => report.diagnostics = diagnostics,
         },
     }
-    found
+    report
 }
 
-impl Found {
-    fn as_text(&self, file: &str) -> String {
+impl Report {
+    fn to_text(&self, file: &str) -> String {
         let what = match self.kind {
             Kind::Settings => "a machine's settings",
             Kind::Configuration => "a configuration",
         };
-        let verdict = match self.wrong.len() {
+        let verdict = match self.diagnostics.len() {
             0 => "sound".to_owned(),
             1 => "1 complaint".to_owned(),
             many => format!("{many} complaints"),
         };
         let mut text = format!("{file}: {what}, {verdict}\n");
-        self.wrong
+        self.diagnostics
             .iter()
             .for_each(|complaint| text.push_str(&format!("  {complaint}\n")));
         text.push_str(&pairs(&self.summary, "  "));
@@ -178,10 +179,10 @@
         text
     }
 
-    fn as_json(&self, file: &str) -> String {
-        let sound = self.wrong.is_empty();
+    fn to_json(&self, file: &str) -> String {
+        let sound = self.diagnostics.is_empty();
         let shown = jzon::object! {
-            file: file, kind: self.kind.name(), sound: sound, complaints: complaints(&self.wrong),
+            file: file, kind: self.kind.name(), sound: sound, complaints: complaints(&self.diagnostics),
             notes: self.notes.clone(), summary: self.json.clone()
         };
         format!("{}\n", shown.dump())
@@ -189,117 +190,117 @@
 }
 
 /// Complaints for machines.
-pub fn complaints(wrong: &[Diagnostic]) -> Vec<Json> {
+pub(super) fn complaints(diagnostics: &[Diagnostic]) -> Vec<Json> {
     let shown = |c: &Diagnostic| {
         jzon::object! { place: c.path.as_str(), found: c.found.as_str(), expected: c.expected.as_str() }
     };
-    wrong.iter().map(shown).collect()
+    diagnostics.iter().map(shown).collect()
 }
 
-fn machine_lines(machine: &NodeSettings) -> Vec<(&'static str, String)> {
-    let posts: Vec<String> = machine
+fn settings_lines(settings: &NodeSettings) -> Vec<(&'static str, String)> {
+    let posts: Vec<String> = settings
         .listen_addresses
         .iter()
         .map(|(name, at)| format!("{name} {at}"))
         .collect();
-    let seeds: Vec<String> = machine
+    let seeds: Vec<String> = settings
         .controller_seeds
         .iter()
         .map(|s| s.to_string())
         .collect();
-    let zones: Vec<String> = machine
+    let zones: Vec<String> = settings
         .zones
         .iter()
         .map(|(zone, region)| format!("{zone} ({region})"))
         .collect();
-    let terms: Vec<String> = terms(machine)
+    let terms: Vec<String> = guarantees(settings)
         .into_iter()
         .map(|(name, v)| format!("{name} {v}"))
         .collect();
-    let carrier = match machine.platform.address {
+    let platform = match settings.platform.address {
         Some(at) => {
             format!(
                 "{at}, {} calls a second, {} behind",
-                machine.platform.calls_per_second,
-                durations::format(machine.platform.lag)
+                settings.platform.calls_per_second,
+                durations::format(settings.platform.lag)
             )
         }
         None => "none".into(),
     };
     vec![
-        ("node", machine.node.clone()),
-        ("class", machine.machine_class.clone()),
-        ("zone", format!("{} ({})", machine.zone, machine.region)),
-        ("runs", listed(&roles(machine))),
+        ("node", settings.node.clone()),
+        ("class", settings.machine_class.clone()),
+        ("zone", format!("{} ({})", settings.zone, settings.region)),
+        ("runs", join(&roles(settings))),
         (
             "inner",
             format!(
                 "{}:{} to {}",
-                machine.ip, machine.agent_ports.0, machine.agent_ports.1
+                settings.ip, settings.agent_ports.0, settings.agent_ports.1
             ),
         ),
-        ("posts", listed(&posts)),
+        ("posts", join(&posts)),
         (
             "store",
-            machine.store_dir.clone().unwrap_or_else(|| "none".into()),
+            settings.store_dir.clone().unwrap_or_else(|| "none".into()),
         ),
-        ("first run", machine.first_run.to_string()),
-        ("seeds", listed(&seeds)),
-        ("platform", carrier),
-        ("zones", listed(&zones)),
+        ("first run", settings.first_run.to_string()),
+        ("seeds", join(&seeds)),
+        ("platform", platform),
+        ("zones", join(&zones)),
         (
             "bounds",
             format!(
                 "{} MB of memory, {} descriptors, {} MB of disk",
-                machine.memory_mb, machine.max_descriptors, machine.disk_mb
+                settings.memory_mb, settings.max_descriptors, settings.disk_mb
             ),
         ),
         (
             "withstands",
-            format!("the loss of {}", machine.tolerated_machines),
+            format!("the loss of {}", settings.tolerated_machines),
         ),
         ("terms", terms.join(", ")),
     ]
 }
 
-fn machine_json(machine: &NodeSettings) -> Json {
+fn settings_json(settings: &NodeSettings) -> Json {
     let mut posts = Json::new_object();
-    machine
+    settings
         .listen_addresses
         .iter()
         .for_each(|(name, at)| drop(posts.insert(name, at.to_string())));
     let mut terms_shown = Json::new_object();
-    terms(machine)
+    guarantees(settings)
         .into_iter()
         .for_each(|(name, value)| drop(terms_shown.insert(name, value)));
     jzon::object! {
-        node: machine.node.as_str(), class: machine.machine_class.as_str(), zone: machine.zone.as_str(),
-        region: machine.region.as_str(), runs: roles(machine), ip: machine.ip.to_string(),
-        inner_ports: [machine.agent_ports.0, machine.agent_ports.1], posts: posts,
-        store: machine.store_dir.as_deref(), first_run: machine.first_run,
-        seeds: machine.controller_seeds.iter().map(|s| s.to_string()).collect::<Vec<_>>(),
-        platform: machine.platform.address.map(|a| a.to_string()),
-        zones: machine.zones.keys().map(String::as_str).collect::<Vec<_>>(),
-        memory_mb: machine.memory_mb, descriptors: machine.max_descriptors, disk_mb: machine.disk_mb,
-        withstand: machine.tolerated_machines, terms: terms_shown
+        node: settings.node.as_str(), class: settings.machine_class.as_str(), zone: settings.zone.as_str(),
+        region: settings.region.as_str(), runs: roles(settings), ip: settings.ip.to_string(),
+        inner_ports: [settings.agent_ports.0, settings.agent_ports.1], posts: posts,
+        store: settings.store_dir.as_deref(), first_run: settings.first_run,
+        seeds: settings.controller_seeds.iter().map(|s| s.to_string()).collect::<Vec<_>>(),
+        platform: settings.platform.address.map(|a| a.to_string()),
+        zones: settings.zones.keys().map(String::as_str).collect::<Vec<_>>(),
+        memory_mb: settings.memory_mb, descriptors: settings.max_descriptors, disk_mb: settings.disk_mb,
+        withstand: settings.tolerated_machines, terms: terms_shown
     }
 }
 
 /// The commands that such a machine can run.
-fn roles(machine: &NodeSettings) -> Vec<&'static str> {
-    let has = |post: &str| machine.listen_addresses.contains_key(post);
+fn roles(settings: &NodeSettings) -> Vec<&'static str> {
+    let has = |post: &str| settings.listen_addresses.contains_key(post);
     let mut roles = Vec::new();
     if has("front") && has("ready") {
         roles.push("proxy");
     }
-    if has("control") && machine.store_dir.is_some() {
+    if has("control") && settings.store_dir.is_some() {
         roles.push("controller");
     }
     roles
 }
 
-fn terms(machine: &NodeSettings) -> Vec<(&'static str, String)> {
-    let t = &machine.guarantees;
+fn guarantees(settings: &NodeSettings) -> Vec<(&'static str, String)> {
+    let t = &settings.guarantees;
     let time = |micros| durations::format(micros);
     vec![
         ("seed_lag", time(t.seed_lag)),
@@ -321,7 +322,7 @@
 }
 
 /// All routes, by host and prefix.
-fn sorted(config: &GatewayConfig) -> Vec<(&str, &Route)> {
+fn sorted_routes(config: &GatewayConfig) -> Vec<(&str, &Route)> {
     let mut all: Vec<(&str, &Route)> = config
         .routes()
         .iter()
@@ -331,7 +332,7 @@
     all
 }
 
-fn sort_name(idempotency: Idempotency) -> &'static str {
+fn idempotency_name(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "safe",
         Idempotency::NonIdempotent => "unsafe",
@@ -346,7 +347,7 @@
 }
 
 fn counts(config: &GatewayConfig) -> Counts {
-    let routes = sorted(config);
+    let routes = sorted_routes(config);
     let mut hosts: Vec<String> = routes.iter().map(|(host, _)| (*host).to_owned()).collect();
     hosts.dedup();
     Counts {
@@ -363,10 +364,12 @@
     }
 }
 
-fn fleets(config: &GatewayConfig) -> Vec<&magpieline_config::gateway_config::ServiceConfig> {
-    let mut fleets: Vec<_> = config.services.values().collect();
-    fleets.sort_by(|a, b| a.name.cmp(&b.name));
-    fleets
+fn services_by_name(
+    config: &GatewayConfig,
+) -> Vec<&magpieline_config::gateway_config::ServiceConfig> {
+    let mut services: Vec<_> = config.services.values().collect();
+    services.sort_by(|a, b| a.name.cmp(&b.name));
+    services
 }
 
 /// How many routes go to a service, at least in part.
@@ -379,9 +382,9 @@
 }
 
 /// A configuration for people.
-pub fn config_lines(config: &GatewayConfig) -> Vec<(&'static str, String)> {
+pub(super) fn config_lines(config: &GatewayConfig) -> Vec<(&'static str, String)> {
     let (counts, allowed) = (counts(config), config.client_limits);
-    let services: Vec<String> = fleets(config)
+    let services: Vec<String> = services_by_name(config)
         .iter()
         .map(|f| {
             let cap = if f.max_connections == u32::MAX {
@@ -401,7 +404,7 @@
         .collect();
     vec![
         ("edition", config.version.to_string()),
-        ("hosts", listed(&counts.hosts)),
+        ("hosts", join(&counts.hosts)),
         (
             "routes",
             format!(
@@ -412,7 +415,7 @@
                 counts.split
             ),
         ),
-        ("services", listed(&services)),
+        ("services", join(&services)),
         (
             "allowances",
             format!(
@@ -429,7 +432,7 @@
 /// A configuration for machines.
 fn config_json(config: &GatewayConfig) -> Json {
     let (counts, allowed) = (counts(config), config.client_limits);
-    let services: Vec<Json> = fleets(config)
+    let services: Vec<Json> = services_by_name(config)
         .iter()
         .map(|f| {
             jzon::object! { name: &*f.name, routes: routes_to(config, &f.name), conn_cap: f.max_connections,
@@ -448,7 +451,7 @@
 }
 
 /// A configuration's routes, one a line.
-pub fn route_table(config: &GatewayConfig) -> String {
+pub(super) fn route_table(config: &GatewayConfig) -> String {
     let head = [
         "host",
         "prefix",
@@ -461,7 +464,7 @@
         "precedence",
     ];
     let mut rows = vec![head.map(str::to_owned).to_vec()];
-    for (host, route) in sorted(config) {
+    for (host, route) in sorted_routes(config) {
         let all: f64 = route.destinations.iter().map(|p| p.weight).sum();
         let to: Vec<String> = match &route.destinations[..] {
             [one] => vec![one.service.to_string()],
@@ -474,8 +477,8 @@
             host.to_owned(),
             route.prefix.clone(),
             route.name.to_string(),
-            sort_name(route.idempotency).to_owned(),
-            listed(&to),
+            idempotency_name(route.idempotency).to_owned(),
+            join(&to),
             durations::format(route.latency_target),
             durations::format(route.timeout),
             route.max_attempts.to_string(),
@@ -488,7 +491,7 @@
 /// What a configuration may say, and hardly means.
 fn notes(config: &GatewayConfig) -> Vec<String> {
     let unmet = |prefix: &str| !prefix.starts_with('/') || !prefix.ends_with('/');
-    let prefixes = sorted(config)
+    let prefixes = sorted_routes(config)
         .into_iter()
         .filter(|(_, route)| unmet(&route.prefix));
     let mut notes: Vec<String> = prefixes
@@ -499,7 +502,7 @@
             )
         })
         .collect();
-    let idle = fleets(config)
+    let idle = services_by_name(config)
         .into_iter()
         .filter(|f| routes_to(config, &f.name) == 0);
     notes.extend(idle.map(|f| format!("service {}: no route goes to it", f.name)));
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: what may be asked for, how it ends, and what is said of wrong use.
+//! The command line: its commands, how they end, and what is said of wrong use.
 
 mod check;
 mod operator_client;
@@ -18,30 +18,31 @@
 
 /// How a command ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    Done,
+pub enum ExitStatus {
+    /// It is done.
+    Success,
     /// It was refused, or it failed.
     Failed,
     /// The command line was wrong.
-    Misused,
+    Usage,
 }
 
-impl From<End> for ExitCode {
-    fn from(end: End) -> ExitCode {
+impl From<ExitStatus> for ExitCode {
+    fn from(end: ExitStatus) -> ExitCode {
         ExitCode::from(match end {
-            End::Done => 0,
-            End::Failed => 1,
-            End::Misused => 2,
+            ExitStatus::Success => 0,
+            ExitStatus::Failed => 1,
+            ExitStatus::Usage => 2,
         })
     }
 }
 
-impl From<bool> for End {
-    fn from(done: bool) -> End {
+impl From<bool> for ExitStatus {
+    fn from(done: bool) -> ExitStatus {
         if done {
-            End::Done
+            ExitStatus::Success
         } else {
-            End::Failed
+            ExitStatus::Failed
         }
     }
 }
@@ -58,9 +59,9 @@
 
 #[derive(Options)]
 enum Command {
-    #[options(help = "carries clients' requests to appliances")]
+    #[options(help = "forwards clients' requests to endpoints")]
     Proxy(serve::Options),
-    #[options(help = "keeps what is agreed on, and leads the counters")]
+    #[options(help = "stores the configuration by consensus, and leads the proxies")]
     Controller(serve::Options),
     #[options(help = "checks settings files and configurations")]
     Check(check::Options),
@@ -68,82 +69,89 @@
     Send(operator_commands::SendOptions),
     #[options(help = "reads the configuration in force")]
     Read(operator_commands::ReadOptions),
-    #[options(help = "orders a rollout, or tells how one stands")]
+    #[options(help = "begins a rollout, or shows one's state")]
     Rollout(operator_commands::RolloutOptions),
-    #[options(help = "shows running agents' views: members, editions, rollouts")]
+    #[options(help = "shows running agents' views: members, configurations, rollouts")]
     View(views::Options),
-    #[options(help = "shows what a sorting machine's store holds, without writing to it")]
+    #[options(help = "shows what a controller's store holds, without writing to it")]
     Store(store::Options),
 }
 
-/// What a command takes beside its options, and examples of it.
-const SHAPES: [(&str, &str, &[&str]); 8] = [
-    (
-        "proxy",
-        "",
-        &[
+/// How a command is called.
+struct Usage {
+    command: &'static str,
+    /// What it takes beside its options.
+    arguments: &'static str,
+    examples: &'static [&'static str],
+}
+
+const USAGES: [Usage; 8] = [
+    Usage {
+        command: "proxy",
+        arguments: "",
+        examples: &[
             "magpieline-gateway proxy --settings /etc/magpieline/node.toml",
             "magpieline-gateway proxy --log info,session=debug",
         ],
-    ),
-    (
-        "controller",
-        "",
-        &[
+    },
+    Usage {
+        command: "controller",
+        arguments: "",
+        examples: &[
             "magpieline-gateway controller --settings /etc/magpieline/node.toml",
             "magpieline-gateway controller --json",
         ],
-    ),
-    (
-        "check",
-        " FILE...",
-        &[
+    },
+    Usage {
+        command: "check",
+        arguments: " FILE...",
+        examples: &[
             "magpieline-gateway check /etc/magpieline/node.toml gateway.json",
             "magpieline-gateway check --routes - < gateway.json",
         ],
-    ),
-    (
-        "send",
-        " ADDRESS FILE",
-        &["magpieline-gateway send 10.1.0.16:8166,10.2.0.33:8166 gateway.json"],
-    ),
-    (
-        "read",
-        " ADDRESS",
-        &[
+    },
+    Usage {
+        command: "send",
+        arguments: " ADDRESS FILE",
+        examples: &["magpieline-gateway send 10.1.0.16:8166,10.2.0.33:8166 gateway.json"],
+    },
+    Usage {
+        command: "read",
+        arguments: " ADDRESS",
+        examples: &[
             "magpieline-gateway read 10.1.0.16:8166",
             "magpieline-gateway read --json 10.1.0.16:8166 > gateway.json",
         ],
-    ),
-    (
-        "rollout",
-        " ADDRESS SERVICE [VERSION]",
-        &[
+    },
+    Usage {
+        command: "rollout",
+        arguments: " ADDRESS SERVICE [VERSION]",
+        examples: &[
             "magpieline-gateway rollout 10.1.0.16:8166 calendar v2 --within 12s --wait",
             "magpieline-gateway rollout 10.1.0.16:8166 calendar",
         ],
-    ),
-    (
-        "view",
-        " ADDRESS...",
-        &[
+    },
+    Usage {
+        command: "view",
+        arguments: " ADDRESS...",
+        examples: &[
             "magpieline-gateway view 10.1.0.16:7720",
             "magpieline-gateway view --every 2s 10.1.0.16:7720 10.1.0.13:7720",
         ],
-    ),
-    (
-        "store",
-        " DIR",
-        &[
+    },
+    Usage {
+        command: "store",
+        arguments: " DIR",
+        examples: &[
             "magpieline-gateway store /var/lib/magpieline",
             "magpieline-gateway store --configuration /var/lib/magpieline > gateway.json",
         ],
-    ),
+    },
 ];
 
 /// Addresses that are tried in turn, joined by commas.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Addresses(pub Vec<SocketAddrV4>);
+struct Addresses(Vec<SocketAddrV4>);
 
 impl FromStr for Addresses {
     type Err = String;
@@ -156,14 +164,14 @@
     }
 }
 
-/// One address with its port.
+/// Parses one address with its port.
 fn address(text: &str) -> Result<SocketAddrV4, String> {
     text.parse().map_err(|_| {
         format!("found '{text}', expected an address and a port such as 10.1.0.16:8166")
     })
 }
 
-/// A time above 0 as operators write it.
+/// Parses a time above 0 as operators write it.
 fn time(text: &str) -> Result<Micros, String> {
     let time = durations::parse(text).filter(|t| *t > 0);
     time.ok_or_else(|| format!("found '{text}', expected a time above 0 such as 1500ms or 2.5s"))
@@ -172,7 +180,7 @@
 /// Names that commands had in earlier releases, and the names that they have now; scripts may still use them.
 const FORMER_NAMES: [(&str, &str); 2] = [("counter", "proxy"), ("sorting", "controller")];
 
-/// The arguments with a former name of a command replaced by its present one.
+/// Returns the arguments with a former name of a command replaced by its present one.
 fn with_present_name(arguments: &[String]) -> Vec<String> {
     let mut arguments = arguments.to_vec();
     if let Some(name) = arguments.first_mut() {
@@ -184,23 +192,23 @@
 }
 
 /// Runs what the command line asks for.
-pub fn run(arguments: &[String]) -> End {
+pub fn run(arguments: &[String]) -> ExitStatus {
     let arguments = &with_present_name(arguments)[..];
     let parsed = match Arguments::parse_args(arguments, ParsingStyle::AllOptions) {
         Ok(parsed) => parsed,
-        Err(wrong) => return misused(arguments, &wrong.to_string()),
+        Err(error) => return usage_error(arguments, &error.to_string()),
     };
     if parsed.help_requested() {
-        say(&help(parsed.command_name()));
-        return End::Done;
+        print(&help(parsed.command_name()));
+        return ExitStatus::Success;
     }
     if parsed.version {
-        say(concat!(
+        print(concat!(
             "magpieline-gateway ",
             env!("CARGO_PKG_VERSION"),
             "\n"
         ));
-        return End::Done;
+        return ExitStatus::Success;
     }
     let done = match parsed.command {
         Some(Command::Proxy(options)) => serve::proxy(options),
@@ -213,11 +221,11 @@
         Some(Command::Store(options)) => store::run(&options),
         None => Err("expected a command".into()),
     };
-    done.unwrap_or_else(|wrong| misused(arguments, &wrong))
+    done.unwrap_or_else(|error| usage_error(arguments, &error))
 }
 
 /// Says what is wrong with the command line, and how it should be.
-fn misused(arguments: &[String], wrong: &str) -> End {
+fn usage_error(arguments: &[String], error: &str) -> ExitStatus {
     let command = arguments
         .iter()
         .map(String::as_str)
@@ -226,17 +234,22 @@
     let name = command.map_or("magpieline-gateway".to_owned(), |c| {
         format!("magpieline-gateway {c}")
     });
-    eprintln!("{name}: {wrong}\n\n{}", help(command).trim_end());
-    End::Misused
+    eprintln!("{name}: {error}\n\n{}", help(command).trim_end());
+    ExitStatus::Usage
 }
 
-/// The help of a command, or of the program.
+/// Returns the help of a command, or of the program.
 fn help(command: Option<&str>) -> String {
-    let shape = SHAPES.iter().find(|(name, ..)| Some(*name) == command);
-    let Some((name, takes, examples)) = shape else {
+    let usage = USAGES.iter().find(|usage| Some(usage.command) == command);
+    let Some(Usage {
+        command,
+        arguments,
+        examples,
+    }) = usage
+    else {
         let commands = Arguments::command_list().unwrap_or_default();
         return format!(
-            "magpieline-gateway, the gateway: counters carry clients' requests, sorting machines keep what is agreed on.\n\n\
+            "magpieline-gateway, the gateway: proxies forward clients' requests, controllers store the configuration by consensus.\n\n\
              Usage: magpieline-gateway COMMAND [OPTIONS] ...\n\nCommands:\n{commands}\n\n{}\n\n\
              Exit codes: 0 done, 1 refused or failed, 2 wrong use.\n",
             Arguments::usage()
@@ -245,24 +258,30 @@
     let list = Arguments::command_list().unwrap_or_default();
     let about = list
         .lines()
-        .find_map(|l| l.trim().strip_prefix(*name))
+        .find_map(|l| l.trim().strip_prefix(*command))
         .unwrap_or_default()
         .trim();
-    let usage = Command::command_usage(name).unwrap_or_default();
+    let options = Command::command_usage(command).unwrap_or_default();
     let examples: String = examples.iter().map(|e| format!("  {e}\n")).collect();
-    format!("magpieline-gateway {name}: {about}\n\nUsage: magpieline-gateway {name} [OPTIONS]{takes}\n\n{usage}\n\nExamples:\n{examples}")
+    format!(
+        "magpieline-gateway {command}: {about}
+
+Usage: magpieline-gateway {command} [OPTIONS]{arguments}
+
+{options}\n\nExamples:\n{examples}"
+    )
 }
 
-/// Prints to standard output; false once nobody reads it any more.
-pub fn say(text: &str) -> bool {
+/// Prints to standard output. Returns false once nobody reads it any more.
+fn print(text: &str) -> bool {
     let mut out = std::io::stdout().lock();
     out.write_all(text.as_bytes())
         .and_then(|()| out.flush())
         .is_ok()
 }
 
-/// Runs on one thread.
-fn wait_for<T>(work: impl std::future::Future<Output = T>) -> Result<T, String> {
+/// Runs a future on one thread.
+fn block_on<T>(work: impl std::future::Future<Output = T>) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -272,35 +291,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a command that nobody can learn of: each has a line in the list, a shape and an example that parses.
-    #[test]
-    fn each_command_has_a_help_whose_examples_parse() {
-        let list = Arguments::command_list().expect("commands");
-        assert_eq!(list.lines().count(), SHAPES.len());
-        for (name, _, examples) in SHAPES {
-            assert!(
-                list.lines().any(|l| l.trim().starts_with(name)),
-                "{name} is not listed"
-            );
-            assert!(
-                help(Some(name)).contains("Examples:\n  magpieline-gateway "),
-                "{name}"
-            );
-            for example in examples {
-                let plain = example
-                    .split([' '])
-                    .skip(1)
-                    .take_while(|w| !["<", ">"].contains(w));
-                let words: Vec<&str> = plain.collect();
-                let parsed = Arguments::parse_args(&words, ParsingStyle::AllOptions);
-                assert_eq!(
-                    parsed.map(|p| p.command_name()).map_err(|e| e.to_string()),
-                    Ok(Some(name))
-                );
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/gateway/src/commands/operator_client.rs
+++ b/crates/gateway/src/commands/operator_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the sorting machines' `control` addresses, as operators make them: a few redirects are followed, another
+//! Calls to the controllers' `control` addresses, as operators make them: a few redirects are followed, another
 //! address is tried after a failure or silence, with pauses that grow, until there is a clear answer or no time left.
 
 use crate::clock::{duration, now, Micros};
@@ -13,30 +13,31 @@
 use tokio::time::timeout;
 
 /// Redirects that are followed.
-const MOST_MOVES: usize = 2;
+const MAX_REDIRECTS: usize = 2;
 /// An address that says nothing for so long is left for the next one,
-const SILENCE: Micros = 1_000_000;
+const RESPONSE_TIMEOUT: Micros = 1_000_000;
 /// with so much more for each byte that goes or may come: a megabyte a second.
-const EACH_BYTE: Micros = 1;
+const TIME_PER_BYTE: Micros = 1;
 /// Longest answer that is read; also what an answer may take its time for when a configuration is read.
-const LONGEST: usize = 32 << 20;
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
 /// Between rounds through the addresses: the first pause and the longest.
-const PAUSES: (Micros, Micros) = (100_000, 1_000_000);
+const FIRST_PAUSE: Micros = 100_000;
+const MAX_PAUSE: Micros = 1_000_000;
 /// A refusal that is not final by its status ends a call when it comes so often.
-const MOST_REFUSALS: u32 = 3;
+const MAX_DOUBTFUL: u32 = 3;
 
-/// An answer.
+/// A clear answer.
 #[derive(Debug)]
-pub struct Answer {
-    pub by: SocketAddrV4,
-    pub text: String,
+pub(super) struct Answer {
+    pub(super) by: SocketAddrV4,
+    pub(super) text: String,
 }
 
 /// Why there is none.
 #[derive(Debug)]
-pub enum Failed {
+pub(super) enum CallError {
     /// It was refused.
-    Refused {
+    Rejected {
         by: SocketAddrV4,
         status: u16,
         text: String,
@@ -47,78 +48,87 @@
 
 /// What a status asks of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Next {
-    Done,
-    Move,
-    /// Ends at once.
-    End,
-    /// Another address; so many of these end the call.
+pub(super) enum StatusMeaning {
+    /// It is the answer.
+    Success,
+    /// Another address answers.
+    Redirect,
+    /// It ends the call at once.
+    Rejected,
+    /// Another address is tried; [`MAX_DOUBTFUL`] of these end the call.
     Doubtful,
-    Elsewhere,
+    /// Another address is tried.
+    TryNext,
 }
 
-fn next(status: u16) -> Next {
-    match status {
-        200..=299 => Next::Done,
-        307 => Next::Move,
-        400 | 409 | 412 | 413 | 422 => Next::End,
-        408 | 429 => Next::Elsewhere,
-        401..=499 => Next::Doubtful,
-        _ => Next::Elsewhere,
+impl StatusMeaning {
+    pub(super) fn of(status: u16) -> StatusMeaning {
+        match status {
+            200..=299 => StatusMeaning::Success,
+            307 => StatusMeaning::Redirect,
+            400 | 409 | 412 | 413 | 422 => StatusMeaning::Rejected,
+            408 | 429 => StatusMeaning::TryNext,
+            401..=499 => StatusMeaning::Doubtful,
+            _ => StatusMeaning::TryNext,
+        }
     }
 }
 
-/// Makes a call with one body, again and again until it has a clear answer, for at most `patience`.
-pub async fn call(
+/// Makes a call with one body, again and again deadline it has a clear answer, for at most `patience`.
+pub(super) async fn call(
     addresses: &[SocketAddrV4],
     query: &str,
     body: &str,
     patience: Micros,
-) -> Result<Answer, Failed> {
-    let (until, body) = (now() + patience, Bytes::from(body.to_owned()));
-    let (mut pause, mut refusals, mut tried) = (PAUSES.0, 0, BTreeMap::new());
+) -> Result<Answer, CallError> {
+    let (deadline, body) = (now() + patience, Bytes::from(body.to_owned()));
+    let (mut pause, mut doubtful, mut tried) = (FIRST_PAUSE, 0, BTreeMap::new());
     loop {
         for first in addresses {
-            match one(*first, query, &body, until).await {
-                Ok((by, status, text)) => match next(status) {
-                    Next::Done => return Ok(Answer { by, text }),
-                    Next::End => return Err(Failed::Refused { by, status, text }),
-                    Next::Doubtful if refusals + 1 == MOST_REFUSALS => {
-                        return Err(Failed::Refused { by, status, text })
+            match call_one(*first, query, &body, deadline).await {
+                Ok((by, status, text)) => match StatusMeaning::of(status) {
+                    StatusMeaning::Success => return Ok(Answer { by, text }),
+                    StatusMeaning::Rejected => {
+                        return Err(CallError::Rejected { by, status, text })
+                    }
+                    StatusMeaning::Doubtful if doubtful + 1 == MAX_DOUBTFUL => {
+                        return Err(CallError::Rejected { by, status, text })
                     }
                     other => {
-                        refusals += u32::from(other == Next::Doubtful);
+                        doubtful += u32::from(other == StatusMeaning::Doubtful);
                         tried.insert(
                             by,
-                            format!("answered {status}: {}", faults(&text).join("; ")),
+                            format!("answered {status}: {}", rejection_errors(&text).join("; ")),
                         );
                     }
                 },
-                Err((by, wrong)) => {
-                    tried.insert(by, wrong);
+                Err((by, error)) => {
+                    tried.insert(by, error);
                 }
             }
         }
-        if now() + pause >= until {
-            return Err(Failed::Unclear(tried));
+        if now() + pause >= deadline {
+            return Err(CallError::Unclear(tried));
         }
         tokio::time::sleep(duration(pause)).await;
-        pause = (2 * pause).min(PAUSES.1);
+        pause = (2 * pause).min(MAX_PAUSE);
     }
 }
 
-type Told = Result<(SocketAddrV4, u16, String), (SocketAddrV4, String)>;
+/// Who answered, with which status and text; or whose answer is missing, and why.
+type CallResult = Result<(SocketAddrV4, u16, String), (SocketAddrV4, String)>;
 
-/// One call, followed where it is sent.
-async fn one(first: SocketAddrV4, query: &str, body: &Bytes, until: Micros) -> Told {
+/// Makes one call, and follows redirects.
+async fn call_one(first: SocketAddrV4, query: &str, body: &Bytes, deadline: Micros) -> CallResult {
     let (mut at, mut path) = (first, format!("/v1/rpc?{query}"));
-    for moves in 0..=MOST_MOVES {
-        let silence = SILENCE + EACH_BYTE * body.len() as Micros;
+    for redirects in 0..=MAX_REDIRECTS {
+        let response_timeout = RESPONSE_TIMEOUT + TIME_PER_BYTE * body.len() as Micros;
         // The last moments are for an address that may just be slow.
-        let within = silence.min(until.saturating_sub(now()).max(SILENCE));
-        let (status, moved, text) = match timeout(duration(within), post(at, &path, body)).await {
+        let within = response_timeout.min(deadline.saturating_sub(now()).max(RESPONSE_TIMEOUT));
+        let (status, location, text) = match timeout(duration(within), post(at, &path, body)).await
+        {
             Ok(Ok(answer)) => answer,
-            Ok(Err(wrong)) => return Err((at, wrong)),
+            Ok(Err(error)) => return Err((at, error)),
             Err(_) => {
                 return Err((
                     at,
@@ -126,22 +136,22 @@
                 ))
             }
         };
-        if next(status) != Next::Move {
+        if StatusMeaning::of(status) != StatusMeaning::Redirect {
             return Ok((at, status, text));
         }
-        let to = moved.as_deref().and_then(place);
+        let to = location.as_deref().and_then(parse_location);
         match to {
-            Some(to) if moves < MOST_MOVES => (at, path) = to,
+            Some(to) if redirects < MAX_REDIRECTS => (at, path) = to,
             Some((to, _)) => {
                 return Err((
                     at,
-                    format!("sent on to {to}, the {}th time", MOST_MOVES + 1),
+                    format!("sent on to {to}, the {}th time", MAX_REDIRECTS + 1),
                 ))
             }
             None => {
                 return Err((
                     at,
-                    format!("sent on to {moved:?}, expected http://ADDRESS/PATH"),
+                    format!("sent on to {location:?}, expected http://ADDRESS/PATH"),
                 ))
             }
         }
@@ -149,56 +159,58 @@
     Err((at, "sent on too often".into()))
 }
 
-/// Address and path of a `Location`.
-fn place(location: &str) -> Option<(SocketAddrV4, String)> {
+/// Parses address and path of a `Location`.
+pub(super) fn parse_location(location: &str) -> Option<(SocketAddrV4, String)> {
     let rest = location.strip_prefix("http://")?;
     let (at, path) = rest.split_once('/').unwrap_or((rest, ""));
     Some((at.parse().ok()?, format!("/{path}")))
 }
 
+/// Status, `Location`, text.
 type Response = (u16, Option<String>, String);
 
 async fn post(at: SocketAddrV4, path: &str, body: &Bytes) -> Result<Response, String> {
-    let stream = net::connect(at, SILENCE)
+    let stream = net::connect(at, RESPONSE_TIMEOUT)
         .await
         .map_err(|e| format!("no connection: {e}"))?;
-    let broken = |e: hyper::Error| {
-        format!("found no answer ({e}), expected a sorting machine's control address")
-    };
-    let (mut line, rest) = hyper::client::conn::http1::handshake(HyperIo(stream))
+    let broken =
+        |e: hyper::Error| format!("found no answer ({e}), expected a controller's control address");
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(HyperIo(stream))
         .await
         .map_err(broken)?;
-    tokio::spawn(rest);
+    tokio::spawn(connection);
     let request = Request::post(path)
         .header(HOST, at.to_string())
         .header(CONTENT_TYPE, "application/json")
         .body(Full::new(body.clone()))
         .map_err(|e| format!("no request: {e}"))?;
-    let answer = line.send_request(request).await.map_err(broken)?;
+    let answer = sender.send_request(request).await.map_err(broken)?;
     let status = answer.status().as_u16();
-    let moved = answer
+    let location = answer
         .headers()
         .get(LOCATION)
         .and_then(|l| l.to_str().ok())
         .map(str::to_owned);
-    let body = Limited::new(answer.into_body(), LONGEST).collect().await;
+    let body = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES)
+        .collect()
+        .await;
     let body = body
         .map_err(|e| format!("found a part of an answer ({e}), expected all of it"))?
         .to_bytes();
     let text = String::from_utf8(body.into())
         .map_err(|_| "found bytes that are no text, expected JSON")?;
-    Ok((status, moved, text))
+    Ok((status, location, text))
 }
 
-/// The complaints that a refusal's body tells, one a line; the body itself where it tells none.
-pub fn faults(text: &str) -> Vec<String> {
-    let told = jzon::parse(text).ok();
-    let list = told
+/// Returns the errors in the body of a rejection; the body itself where it names none.
+pub(super) fn rejection_errors(text: &str) -> Vec<String> {
+    let parsed = jzon::parse(text).ok();
+    let list = parsed
         .as_ref()
         .map(|t| t["fault"].members())
         .into_iter()
         .flatten();
-    let said: Vec<String> = list
+    let errors: Vec<String> = list
         .filter_map(|f| {
             let (place, found, expected) = (
                 f["place"].as_str()?,
@@ -208,44 +220,8 @@
             Some(format!("{place}: found {found}, expected {expected}"))
         })
         .collect();
-    match said.is_empty() {
+    match errors.is_empty() {
         true => vec![text.trim().chars().take(200).collect()],
-        false => said,
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rstest::rstest;
-
-    /// Guards against a call that is given up on a word that is not final, or repeated after one that is.
-    #[rstest]
-    #[case(200, Next::Done)]
-    #[case(307, Next::Move)]
-    #[case(400, Next::End)]
-    #[case(422, Next::End)]
-    #[case(404, Next::Doubtful)]
-    #[case(408, Next::Elsewhere)]
-    #[case(429, Next::Elsewhere)]
-    #[case(503, Next::Elsewhere)]
-    #[case(302, Next::Elsewhere)]
-    fn statuses(#[case] status: u16, #[case] expected: Next) {
-        assert_eq!(next(status), expected);
-    }
-
-    /// Guards against a redirect to nowhere.
-    #[test]
-    fn locations() {
-        let to = (
-            "10.0.0.4:8080".parse().expect("an address"),
-            "/v1/rpc?call=config.read".to_owned(),
-        );
-        assert_eq!(
-            place("http://10.0.0.4:8080/v1/rpc?call=config.read"),
-            Some(to)
-        );
-        assert_eq!(place("http://gateway.example/v1"), None);
-        assert_eq!(place("/v1/rpc"), None);
+        false => errors,
     }
 }
--- a/crates/gateway/src/commands/operator_commands.rs
+++ b/crates/gateway/src/commands/operator_commands.rs
@@ -1,27 +1,27 @@
-//! What operators ask of the sorting machines: a configuration, rollouts, and what is in force.
+//! Operators' commands: a configuration, rollouts, and what is in force.
 
-use super::check::{complaints, config_lines, read as read_file, route_table};
-use super::operator_client::{call, faults, Answer, Failed};
+use super::check::{complaints, config_lines, read_file, route_table};
+use super::operator_client::{call, rejection_errors, Answer, CallError};
 use super::tables::pairs;
-use super::{say, time, wait_for, Addresses, End};
+use super::{block_on, print, time, Addresses, ExitStatus};
 use crate::clock::{duration, now, Micros};
 use jzon::JsonValue as Json;
 use magpieline_config::durations;
 use magpieline_config::gateway_config::GatewayConfig;
 
 /// A rollout that is waited for is asked about this often,
-const ASK_EVERY: Micros = 500_000;
+const POLL_INTERVAL: Micros = 500_000;
 /// and for so long after its term.
-const LATE: Micros = 30_000_000;
+const MAX_DELAY: Micros = 30_000_000;
 
 #[derive(gumdrop::Options)]
-pub struct SendOptions {
+pub(super) struct SendOptions {
     #[options(help = "prints this")]
     help: bool,
     #[options(
         free,
         required,
-        help = "control addresses of sorting machines, joined by commas"
+        help = "control addresses of controllers, joined by commas"
     )]
     address: Addresses,
     #[options(free, required, help = "the configuration; - is standard input")]
@@ -40,13 +40,13 @@
 }
 
 #[derive(gumdrop::Options)]
-pub struct ReadOptions {
+pub(super) struct ReadOptions {
     #[options(help = "prints this")]
     help: bool,
     #[options(
         free,
         required,
-        help = "control addresses of sorting machines, joined by commas"
+        help = "control addresses of controllers, joined by commas"
     )]
     address: Addresses,
     #[options(
@@ -61,13 +61,13 @@
 }
 
 #[derive(gumdrop::Options)]
-pub struct RolloutOptions {
+pub(super) struct RolloutOptions {
     #[options(help = "prints this")]
     help: bool,
     #[options(
         free,
         required,
-        help = "control addresses of sorting machines, joined by commas"
+        help = "control addresses of controllers, joined by commas"
     )]
     address: Addresses,
     #[options(free, required, help = "the service")]
@@ -97,12 +97,12 @@
 }
 
 /// Says how a command has ended: a sentence, or an object for machines.
-fn ended(json: bool, done: bool, sentence: &str, mut object: Json) -> End {
+fn finish(json: bool, done: bool, sentence: &str, mut object: Json) -> ExitStatus {
     if json {
         let _ = object.insert("done", done);
-        say(&format!("{}\n", object.dump()));
+        print(&format!("{}\n", object.dump()));
     } else if done {
-        say(&format!("{sentence}\n"));
+        print(&format!("{sentence}\n"));
     } else {
         eprintln!("{sentence}");
     }
@@ -110,94 +110,94 @@
 }
 
 /// Says why a call has no good answer.
-fn failed(json: bool, what: &str, wrong: &Failed) -> End {
-    let (sentence, object) = match wrong {
-        Failed::Refused { by, status, text } => {
-            let faults = faults(text);
-            let list: String = faults.iter().map(|f| format!("\n  {f}")).collect();
-            let object = jzon::object! { refused: *status, by: by.to_string(), faults: faults };
+fn fail(json: bool, what: &str, error: &CallError) -> ExitStatus {
+    let (sentence, object) = match error {
+        CallError::Rejected { by, status, text } => {
+            let errors = rejection_errors(text);
+            let list: String = errors.iter().map(|f| format!("\n  {f}")).collect();
+            let object = jzon::object! { refused: *status, by: by.to_string(), faults: errors };
             (format!("{what}: {by} refused it ({status}):{list}"), object)
         }
-        Failed::Unclear(tried) => {
+        CallError::Unclear(tried) => {
             let list: String = tried
                 .iter()
-                .map(|(at, wrong)| format!("\n  {at}: {wrong}"))
+                .map(|(at, error)| format!("\n  {at}: {error}"))
                 .collect();
             let mut object = Json::new_object();
             tried
                 .iter()
-                .for_each(|(at, wrong)| drop(object.insert(&at.to_string(), wrong.as_str())));
+                .for_each(|(at, error)| drop(object.insert(&at.to_string(), error.as_str())));
             let sentence =
                 format!("{what}: no clear answer; it may be in force or not, ask again:{list}");
             (sentence, jzon::object! { unclear: object })
         }
     };
-    ended(json, false, &sentence, object)
+    finish(json, false, &sentence, object)
 }
 
-pub fn send(options: &SendOptions) -> Result<End, String> {
+pub(super) fn send(options: &SendOptions) -> Result<ExitStatus, String> {
     let file = &options.file;
     let text = match read_file(file) {
         Ok(text) => text,
         Err(e) => {
-            let wrong = format!("{file}: can't be read: {e}");
-            return Ok(ended(
+            let error = format!("{file}: can't be read: {e}");
+            return Ok(finish(
                 options.json,
                 false,
-                &wrong,
+                &error,
                 jzon::object! { unreadable: e.to_string() },
             ));
         }
     };
-    let edition = match GatewayConfig::parse_collecting_all(&text) {
+    let version = match GatewayConfig::parse_collecting_all(&text) {
         Ok(config) => Some(config.version),
         Err(_) if options.unchecked => magpieline_config::gateway_config::claimed_version(&text),
-        Err(wrong) => {
-            let list: String = wrong.iter().map(|c| format!("\n  {c}")).collect();
+        Err(error) => {
+            let list: String = error.iter().map(|c| format!("\n  {c}")).collect();
             let sentence = format!("{file}: not sent, as it is no sound configuration:{list}");
-            return Ok(ended(
+            return Ok(finish(
                 options.json,
                 false,
                 &sentence,
-                jzon::object! { complaints: complaints(&wrong) },
+                jzon::object! { complaints: complaints(&error) },
             ));
         }
     };
-    wait_for(async {
+    block_on(async {
         let at = &options.address.0;
         let answer = match call(at, "call=config.replace", &text, options.patience).await {
             Ok(answer) => answer,
-            Err(wrong) => return failed(options.json, file, &wrong),
+            Err(error) => return fail(options.json, file, &error),
         };
         // An older one is acknowledged, too, and changes nothing: what is in force tells.
-        let held = call(at, "call=config.read", "", options.patience)
+        let current = call(at, "call=config.read", "", options.patience)
             .await
             .ok();
-        let (done, sentence) = judge(edition, &text, &answer, held.as_ref());
+        let (done, sentence) = judge(version, &text, &answer, current.as_ref());
         let object =
-            jzon::object! { edition: edition, by: answer.by.to_string(), said: sentence.as_str() };
-        ended(options.json, done, &sentence, object)
+            jzon::object! { edition: version, by: answer.by.to_string(), said: sentence.as_str() };
+        finish(options.json, done, &sentence, object)
     })
 }
 
 /// Whether a configuration that was acknowledged is in force, by what was read back.
 fn judge(
-    edition: Option<u64>,
+    version: Option<u64>,
     text: &str,
     answer: &Answer,
-    held: Option<&Answer>,
+    current: Option<&Answer>,
 ) -> (bool, String) {
-    let number = edition.map_or("?".to_owned(), |n| n.to_string());
+    let number = version.map_or("?".to_owned(), |n| n.to_string());
     let said = format!("Edition {number} was acknowledged by {}", answer.by);
-    let Some(held) = held else {
+    let Some(current) = current else {
         return (true, format!("{said}; it could not be read back."));
     };
-    let newest = magpieline_config::gateway_config::claimed_version(&held.text);
-    let alike = held.text == text
-        || matches!((jzon::parse(&held.text), jzon::parse(text)), (Ok(a), Ok(b)) if a == b);
+    let newest = magpieline_config::gateway_config::claimed_version(&current.text);
+    let alike = current.text == text
+        || matches!((jzon::parse(&current.text), jzon::parse(text)), (Ok(a), Ok(b)) if a == b);
     match newest {
         _ if alike => (true, format!("{said} and is in force.")),
-        Some(newest) if newest == edition.unwrap_or(0) => (
+        Some(newest) if newest == version.unwrap_or(0) => (
             false,
             format!("{said} and changes nothing: another text is in force under this number."),
         ),
@@ -209,37 +209,37 @@
     }
 }
 
-pub fn read(options: &ReadOptions) -> Result<End, String> {
-    wait_for(async {
+pub(super) fn read(options: &ReadOptions) -> Result<ExitStatus, String> {
+    block_on(async {
         let answer = match call(&options.address.0, "call=config.read", "", options.patience).await
         {
             Ok(answer) => answer,
-            Err(wrong) => return failed(options.json, "configuration", &wrong),
+            Err(error) => return fail(options.json, "configuration", &error),
         };
         if options.json {
-            return say(&answer.text).into();
+            return print(&answer.text).into();
         }
         match GatewayConfig::parse(&answer.text) {
-            Ok(config) => say(&format!(
+            Ok(config) => print(&format!(
                 "{}{}",
                 pairs(&config_lines(&config), ""),
                 route_table(&config)
             ))
             .into(),
-            Err(wrong) => {
+            Err(error) => {
                 let sentence = format!(
                     "{}: in force, but not sound to this program: {}",
-                    answer.by, wrong[0]
+                    answer.by, error[0]
                 );
-                ended(false, false, &sentence, Json::new_object())
+                finish(false, false, &sentence, Json::new_object())
             }
         }
     })
 }
 
-pub fn rollout(options: &RolloutOptions) -> Result<End, String> {
+pub(super) fn rollout(options: &RolloutOptions) -> Result<ExitStatus, String> {
     let service = &options.service;
-    let term = match (&options.version, options.within) {
+    let order = match (&options.version, options.within) {
         (Some(version), Some(within)) => Some((version, within)),
         (None, None) => None,
         (Some(_), None) => {
@@ -249,8 +249,8 @@
             return Err("--within: found it without a VERSION, expected both or neither".into())
         }
     };
-    wait_for(async {
-        if let Some((version, within)) = term {
+    block_on(async {
+        if let Some((version, within)) = order {
             let body = jzon::object! { service: service.as_str(), to_edition: version.as_str(),
             within: durations::format(within) };
             let called = call(
@@ -260,56 +260,54 @@
                 options.patience,
             )
             .await;
-            if let Err(wrong) = called {
-                return failed(
+            if let Err(error) = called {
+                return fail(
                     options.json,
                     &format!("rollout of {service} to {version}"),
-                    &wrong,
+                    &error,
                 );
             }
         }
-        let until = now() + term.map_or(0, |(_, within)| within) + LATE;
+        let deadline = now() + order.map_or(0, |(_, within)| within) + MAX_DELAY;
         loop {
-            let stands = match state(options).await {
-                Ok(stands) => stands,
-                Err(Failed::Refused { status: 404, .. }) => Stands {
+            let rollout = match state(options).await {
+                Ok(rollout) => rollout,
+                Err(CallError::Rejected { status: 404, .. }) => RolloutState {
                     state: "none".into(),
                     to: "-".into(),
                 },
-                Err(wrong) => {
-                    return failed(options.json, &format!("rollout of {service}"), &wrong)
-                }
+                Err(error) => return fail(options.json, &format!("rollout of {service}"), &error),
             };
-            let moves = stands.state == "in_transit";
-            if options.wait && moves && now() < until {
-                tokio::time::sleep(duration(ASK_EVERY)).await;
+            let moves = rollout.state == "in_transit";
+            if options.wait && moves && now() < deadline {
+                tokio::time::sleep(duration(POLL_INTERVAL)).await;
                 continue;
             }
-            return stands.told(options, term.map(|(version, _)| version.as_str()));
+            return rollout.finish(options, order.map(|(version, _)| version.as_str()));
         }
     })
 }
 
-/// How a service's newest rollout stands.
-struct Stands {
+/// How a service's newest rollout rollout.
+struct RolloutState {
     state: String,
     to: String,
 }
 
-async fn state(options: &RolloutOptions) -> Result<Stands, Failed> {
+async fn state(options: &RolloutOptions) -> Result<RolloutState, CallError> {
     let query = format!("call=editions.read&of={}", options.service);
     let answer = call(&options.address.0, &query, "", options.patience).await?;
-    let told = jzon::parse(&answer.text).unwrap_or(Json::Null);
-    let text = |name: &str| told[name].as_str().unwrap_or("?").to_owned();
-    Ok(Stands {
+    let parsed = jzon::parse(&answer.text).unwrap_or(Json::Null);
+    let text = |name: &str| parsed[name].as_str().unwrap_or("?").to_owned();
+    Ok(RolloutState {
         state: text("state"),
         to: text("to_edition"),
     })
 }
 
-impl Stands {
-    fn told(&self, options: &RolloutOptions, ordered: Option<&str>) -> End {
-        let (service, Stands { state, to }) = (&options.service, self);
+impl RolloutState {
+    fn finish(&self, options: &RolloutOptions, ordered: Option<&str>) -> ExitStatus {
+        let (service, RolloutState { state, to }) = (&options.service, self);
         let object = jzon::object! { service: service.as_str(), state: state.as_str(), to_edition: to.as_str() };
         let meant = ordered.is_none_or(|version| version == to);
         let moved = ordered.is_some() || options.wait;
@@ -330,6 +328,6 @@
             }
             (_, state) => format!("{service} to {to}: {state}."),
         };
-        ended(options.json, done, &sentence, object)
+        finish(options.json, done, &sentence, object)
     }
 }
--- a/crates/gateway/src/commands/serve.rs
+++ b/crates/gateway/src/commands/serve.rs
@@ -1,17 +1,19 @@
-//! The commands that serve: a role on one thread, as machines have a fifth of a core.
+//! The commands that run a role, on one thread: machines have a fifth of a core.
 
-use super::{wait_for, End};
+use super::{block_on, ExitStatus};
 use crate::settings::{self, SettingsWatch, Watcher};
 use crate::{clock, controller, logging, proxy};
 use std::future::Future;
 use std::path::PathBuf;
 use std::pin::Pin;
 
-/// The variable that names the settings file, and where it lies otherwise.
-const SETTINGS: (&str, &str) = ("MAGPIELINE_CONFIG", "/etc/magpieline/node.toml");
+/// The variable that names the settings file.
+const SETTINGS_VARIABLE: &str = "MAGPIELINE_CONFIG";
+/// Where it lies otherwise.
+const DEFAULT_SETTINGS: &str = "/etc/magpieline/node.toml";
 
 #[derive(gumdrop::Options)]
-pub struct Options {
+pub(super) struct Options {
     #[options(help = "prints this")]
     help: bool,
     #[options(
@@ -29,15 +31,16 @@
     json: bool,
 }
 
+/// A role that runs.
 type Running = Pin<Box<dyn Future<Output = std::io::Result<()>>>>;
 
-pub fn proxy(options: Options) -> Result<End, String> {
+pub(super) fn proxy(options: Options) -> Result<ExitStatus, String> {
     start("proxy", options, |settings, incarnation| {
         Box::pin(proxy::run(settings, incarnation))
     })
 }
 
-pub fn controller(options: Options) -> Result<End, String> {
+pub(super) fn controller(options: Options) -> Result<ExitStatus, String> {
     start("controller", options, |settings, incarnation| {
         Box::pin(controller::run(settings, incarnation))
     })
@@ -48,30 +51,30 @@
     role: &str,
     options: Options,
     run: impl FnOnce(SettingsWatch, u64) -> Running,
-) -> Result<End, String> {
+) -> Result<ExitStatus, String> {
     logging::start(&options.log, options.json).map_err(|error| error.to_string())?;
     let path = options
         .settings
-        .or_else(|| std::env::var(SETTINGS.0).ok())
-        .unwrap_or_else(|| SETTINGS.1.to_owned());
+        .or_else(|| std::env::var(SETTINGS_VARIABLE).ok())
+        .unwrap_or_else(|| DEFAULT_SETTINGS.to_owned());
     let watcher = match Watcher::open(PathBuf::from(&path)) {
         Ok(watcher) => watcher,
-        Err(wrong) => {
-            wrong.iter().for_each(|complaint| eprintln!("{complaint}"));
-            return Ok(End::Failed);
+        Err(errors) => {
+            errors.iter().for_each(|error| eprintln!("{error}"));
+            return Ok(ExitStatus::Failed);
         }
     };
-    let (version, node) = (env!("CARGO_PKG_VERSION"), &watcher.machine().node);
+    let (version, node) = (env!("CARGO_PKG_VERSION"), &watcher.settings().node);
     tracing::info!(target: "start", "{role} {version} as {node}, by {path}.");
     clock::now();
     let incarnation = rand::random::<u64>().max(1);
-    let served = wait_for(async { run(settings::watch(watcher)?, incarnation).await });
+    let result = block_on(async { run(settings::watch(watcher)?, incarnation).await });
     Ok(
-        match served.map(|served| served.map_err(|e| e.to_string())) {
-            Ok(Ok(())) => End::Done,
-            Ok(Err(wrong)) | Err(wrong) => {
-                eprintln!("{path}: {wrong}");
-                End::Failed
+        match result.map(|result| result.map_err(|e| e.to_string())) {
+            Ok(Ok(())) => ExitStatus::Success,
+            Ok(Err(error)) | Err(error) => {
+                eprintln!("{path}: {error}");
+                ExitStatus::Failed
             }
         },
     )
--- a/crates/gateway/src/commands/store.rs
+++ b/crates/gateway/src/commands/store.rs
@@ -1,7 +1,7 @@
-//! What a sorting machine's store holds: read, never written, while its owner runs or not.
+//! Shows what a controller's store holds: it is read, never written, while its owner runs or not.
 
-use super::tables::{columns, listed, pairs};
-use super::{say, End};
+use super::tables::{columns, join, pairs};
+use super::{print, ExitStatus};
 use crate::view::phase_name;
 use jzon::JsonValue as Json;
 use magpieline_config::durations;
@@ -12,11 +12,11 @@
 use std::time::Duration;
 
 /// A store that is written just then may look corrupt: it is read so often, this far apart.
-const TRIES: u32 = 5;
-const APART: Duration = Duration::from_millis(60);
+const MAX_READS: u32 = 5;
+const READ_INTERVAL: Duration = Duration::from_millis(60);
 
 #[derive(gumdrop::Options)]
-pub struct Options {
+pub(super) struct Options {
     #[options(help = "prints this")]
     help: bool,
     #[options(
@@ -33,58 +33,58 @@
     json: bool,
 }
 
-pub fn run(options: &Options) -> Result<End, String> {
+pub(super) fn run(options: &Options) -> Result<ExitStatus, String> {
     let (dir, path) = (&options.dir, Path::new(&options.dir));
     let in_use = is_in_use(path).unwrap_or(false);
     let found = match read(path, in_use) {
         Ok(Some(found)) => found,
         Ok(None) => {
-            return Ok(failed(
+            return Ok(fail(
                 options,
-                "found no store, expected a sorting machine's store.redb",
+                "found no store, expected a controller's store.redb",
             ))
         }
-        Err(error) => return Ok(failed(options, &told(error, in_use))),
+        Err(error) => return Ok(fail(options, &describe_error(error, in_use))),
     };
-    let contents = Contents::of(&found, in_use);
+    let report = StoreReport::of(&found, in_use);
     if options.configuration {
-        return Ok(match &contents.latest().config {
-            Some(kept) => say(&kept.text).into(),
-            None => failed(
+        return Ok(match &report.latest().config {
+            Some(config) => print(&config.text).into(),
+            None => fail(
                 options,
                 "found no configuration, expected one that was sent",
             ),
         });
     }
     let text = match options.json {
-        true => format!("{}\n", contents.as_json(dir, options.entries).dump()),
-        false => contents.as_text(dir, options.entries),
+        true => format!("{}\n", report.to_json(dir, options.entries).dump()),
+        false => report.to_text(dir, options.entries),
     };
-    Ok(say(&text).into())
+    Ok(print(&text).into())
 }
 
-fn failed(options: &Options, what: &str) -> End {
+fn fail(options: &Options, what: &str) -> ExitStatus {
     eprintln!("{}: {what}", options.dir);
     if options.json {
-        say(&format!(
+        print(&format!(
             "{}\n",
             jzon::object! { store: options.dir.as_str(), wrong: what }.dump()
         ));
     }
-    End::Failed
+    ExitStatus::Failed
 }
 
 fn read(dir: &Path, in_use: bool) -> Result<Option<Inspection>, StoreError> {
-    for _ in 1..TRIES {
+    for _ in 1..MAX_READS {
         match inspect(dir) {
-            Err(StoreError::Corrupt(_)) if in_use => std::thread::sleep(APART),
+            Err(StoreError::Corrupt(_)) if in_use => std::thread::sleep(READ_INTERVAL),
             done => return done,
         }
     }
     inspect(dir)
 }
 
-fn told(error: StoreError, in_use: bool) -> String {
+fn describe_error(error: StoreError, in_use: bool) -> String {
     match error {
         StoreError::Corrupt(corruption) if in_use => {
             let (place, key) = (corruption.location, corruption.key);
@@ -114,11 +114,11 @@
 }
 
 /// A command's name and what it is about.
-fn command_shown(command: &Command) -> (&'static str, String) {
+fn describe_command(command: &Command) -> (&'static str, String) {
     match command {
-        Command::ReplaceConfig(kept) => (
+        Command::ReplaceConfig(config) => (
             "replace",
-            format!("edition {}, {} bytes", kept.version, kept.text.len()),
+            format!("edition {}, {} bytes", config.version, config.text.len()),
         ),
         Command::BeginRolloutV1 {
             service,
@@ -147,7 +147,7 @@
 }
 
 /// What a place in the log is, once its pieces are put together.
-struct Place {
+struct LogEntry {
     index: u64,
     term: u64,
     kind: &'static str,
@@ -156,7 +156,7 @@
 }
 
 /// The log's places in order. A command in pieces stands at its last one, as it is applied there.
-fn places(entries: &[Entry]) -> Vec<Place> {
+fn decode_entries(entries: &[Entry]) -> Vec<LogEntry> {
     let (mut pieces, mut term) = (Vec::new(), 0);
     let mut list = Vec::new();
     for entry in entries {
@@ -167,7 +167,7 @@
         let mut command = None;
         let (kind, about) = match &entry.payload {
             Payload::Noop => ("noop", "a new leader's first".into()),
-            Payload::Voters(members) => ("members", seats(&members.voters)),
+            Payload::Voters(members) => ("members", node_ids(&members.voters)),
             Payload::LeaveJoint => ("joint-end", "the list before counts no more".into()),
             Payload::Command { more: true, bytes } => {
                 pieces.extend_from_slice(bytes);
@@ -178,14 +178,14 @@
                 command = Command::decode(&std::mem::take(&mut pieces)).ok();
                 command.as_ref().map_or(
                     ("unreadable", format!("{} bytes", bytes.len())),
-                    command_shown,
+                    describe_command,
                 )
             }
         };
         if !matches!(entry.payload, Payload::Command { .. }) {
             pieces.clear();
         }
-        list.push(Place {
+        list.push(LogEntry {
             index: entry.index,
             term,
             kind,
@@ -196,48 +196,48 @@
     list
 }
 
-fn seats(seats: &[NodeId]) -> String {
-    let shown: Vec<String> = seats
+fn node_ids(ids: &[NodeId]) -> String {
+    let shown: Vec<String> = ids
         .iter()
         .map(|s| format!("{} (life {})", s.address, s.incarnation))
         .collect();
-    listed(&shown)
+    join(&shown)
 }
 
 /// What was agreed on, carried out again: from the snapshot, through the log up to `to`.
-fn replay(stored: &PersistentState, places: &[Place], to: u64) -> ControlState {
-    let (mut records, mut at) = (ControlState::default(), 0);
+fn replay(stored: &PersistentState, places: &[LogEntry], to: u64) -> ControlState {
+    let (mut state, mut at) = (ControlState::default(), 0);
     if let Some(snapshot) = &stored.snapshot {
-        (records, at) = (
+        (state, at) = (
             ControlState::decode(&snapshot.state).unwrap_or_default(),
             snapshot.index,
         );
     }
     for place in places.iter().filter(|p| p.index > at && p.index <= to) {
         if let Some(command) = &place.command {
-            records.apply(place.index, command);
+            state.apply(place.index, command);
         }
     }
-    records
+    state
 }
 
 /// What a store holds.
-struct Contents<'a> {
+struct StoreReport<'a> {
     found: &'a Inspection,
     in_use: bool,
-    places: Vec<Place>,
+    places: Vec<LogEntry>,
     /// Up to here all is in force for certain, as far as this store knows.
     certain: u64,
     last: u64,
-    in_force: ControlState,
+    committed: ControlState,
     /// With what follows in the log, which may be in force or not, if that says more.
-    beyond: Option<ControlState>,
+    uncommitted: Option<ControlState>,
 }
 
-impl Contents<'_> {
-    fn of(found: &Inspection, in_use: bool) -> Contents<'_> {
+impl StoreReport<'_> {
+    fn of(found: &Inspection, in_use: bool) -> StoreReport<'_> {
         let stored = &found.stored;
-        let places = places(&stored.entries);
+        let places = decode_entries(&stored.entries);
         let covered = stored.snapshot.as_ref().map_or(0, |s| s.index);
         let last = places.last().map_or(covered, |p| p.index);
         let certain = stored
@@ -245,21 +245,21 @@
             .map_or(0, |h| h.commit)
             .max(covered)
             .min(last);
-        let in_force = replay(stored, &places, certain);
-        let beyond = Some(replay(stored, &places, last)).filter(|all| *all != in_force);
-        Contents {
+        let committed = replay(stored, &places, certain);
+        let uncommitted = Some(replay(stored, &places, last)).filter(|all| *all != committed);
+        StoreReport {
             found,
             in_use,
             places,
             certain,
             last,
-            in_force,
-            beyond,
+            committed,
+            uncommitted,
         }
     }
 
     fn latest(&self) -> &ControlState {
-        self.beyond.as_ref().unwrap_or(&self.in_force)
+        self.uncommitted.as_ref().unwrap_or(&self.committed)
     }
 
     /// How many entries there are of each kind, the frequent ones first.
@@ -275,7 +275,7 @@
         kinds
     }
 
-    fn as_text(&self, dir: &str, entries: bool) -> String {
+    fn to_text(&self, dir: &str, entries: bool) -> String {
         let stored = &self.found.stored;
         let mut text = format!(
             "{dir}: {} bytes{}\n",
@@ -311,11 +311,11 @@
         text.push_str(&pairs(
             &[
                 ("term", hard.term.to_string()),
-                ("vote", hard.vote.map_or("none".into(), |v| seats(&[v]))),
+                ("vote", hard.vote.map_or("none".into(), |v| node_ids(&[v]))),
                 ("life", hard.incarnation.to_string()),
-                ("voters", seats(&self.voters())),
+                ("voters", node_ids(&self.voters())),
                 ("log", log),
-                ("entries", listed(&kinds)),
+                ("entries", join(&kinds)),
                 ("snapshot", snapshot),
                 (
                     "certain",
@@ -327,13 +327,13 @@
         text.push_str(&format!(
             "in force, up to entry {}\n{}",
             self.certain,
-            records_text(&self.in_force)
+            state_text(&self.committed)
         ));
-        if let Some(beyond) = &self.beyond {
+        if let Some(uncommitted) = &self.uncommitted {
             let to = self.last;
             text.push_str(&format!(
                 "if what follows up to entry {to} is in force, too\n{}",
-                records_text(beyond)
+                state_text(uncommitted)
             ));
         }
         if entries {
@@ -365,25 +365,25 @@
             .unwrap_or_default()
     }
 
-    fn as_json(&self, dir: &str, entries: bool) -> Json {
+    fn to_json(&self, dir: &str, entries: bool) -> Json {
         let stored = &self.found.stored;
         let mut kinds = Json::new_object();
         self.kinds()
             .into_iter()
             .for_each(|(kind, count)| drop(kinds.insert(kind, count)));
-        let seat =
+        let node_id =
             |s: &NodeId| jzon::object! { address: s.address.to_string(), life: s.incarnation };
         let mut shown = jzon::object! {
             store: dir, bytes: self.found.file_bytes, in_use: self.in_use, empty: stored.hard_state.is_none(),
             term: stored.hard_state.map(|h| h.term), life: stored.hard_state.map(|h| h.incarnation),
-            vote: stored.hard_state.and_then(|h| h.vote).map_or(Json::Null, |v| seat(&v)),
-            voters: self.voters().iter().map(seat).collect::<Vec<_>>(),
+            vote: stored.hard_state.and_then(|h| h.vote).map_or(Json::Null, |v| node_id(&v)),
+            voters: self.voters().iter().map(node_id).collect::<Vec<_>>(),
             log: jzon::object! { first: self.places.first().map(|p| p.index),
                 last: self.places.last().map(|p| p.index), certain: self.certain, kinds: kinds },
             snapshot: stored.snapshot.as_ref().map_or(Json::Null, |s| jzon::object! {
                 index: s.index, term: s.term, bytes: s.state.len(), readable: ControlState::decode(&s.state).is_ok() }),
-            in_force: records_json(&self.in_force),
-            with_what_follows: self.beyond.as_ref().map(records_json)
+            in_force: state_json(&self.committed),
+            with_what_follows: self.uncommitted.as_ref().map(state_json)
         };
         if entries {
             let list: Vec<Json> = self
@@ -399,8 +399,8 @@
     }
 }
 
-fn records_text(records: &ControlState) -> String {
-    let edition = records.config.as_ref();
+fn state_text(state: &ControlState) -> String {
+    let edition = state.config.as_ref();
     let edition = edition.map_or("none".into(), |k| {
         format!("{}, {} bytes", k.version, k.text.len())
     });
@@ -408,8 +408,8 @@
     let mut rows = vec![["service", "stands", "rollout", "barred"]
         .map(str::to_owned)
         .to_vec()];
-    for (name, standing) in &records.services {
-        let rollout = standing.rollout.as_ref().map_or("none".into(), |r| {
+    for (name, service) in &state.services {
+        let rollout = service.rollout.as_ref().map_or("none".into(), |r| {
             format!(
                 "to {}: {} (order {}, within {})",
                 r.target_version,
@@ -418,15 +418,15 @@
                 durations::format(r.within)
             )
         });
-        let stands = standing
+        let version = service
             .version
             .clone()
             .unwrap_or_else(|| "not known".into());
         rows.push(vec![
             name.clone(),
-            stands,
+            version,
             rollout,
-            listed(&standing.rejected_versions),
+            join(&service.rejected_versions),
         ]);
     }
     if rows.len() > 1 {
@@ -435,16 +435,16 @@
     text
 }
 
-fn records_json(records: &ControlState) -> Json {
+fn state_json(state: &ControlState) -> Json {
     let mut services = Json::new_object();
-    for (name, standing) in &records.services {
-        let rollout = standing.rollout.as_ref().map_or(Json::Null, |r| {
+    for (name, service) in &state.services {
+        let rollout = service.rollout.as_ref().map_or(Json::Null, |r| {
             jzon::object! { to: r.target_version.as_str(), phase: phase_name(r.phase), order: r.id,
             within_ms: r.within / 1000 }
         });
-        let shown = jzon::object! { version: standing.version.as_deref(), barred: standing.rejected_versions.clone(),
+        let shown = jzon::object! { version: service.version.as_deref(), barred: service.rejected_versions.clone(),
         rollout: rollout };
         let _ = services.insert(name, shown);
     }
-    jzon::object! { edition: records.config.as_ref().map(|k| k.version), services: services }
+    jzon::object! { edition: state.config.as_ref().map(|k| k.version), services: services }
 }
--- a/crates/gateway/src/commands/tables.rs
+++ b/crates/gateway/src/commands/tables.rs
@@ -1,7 +1,7 @@
-//! What people read: names with their values, and rows in columns.
+//! Tables for people: names with their values, and rows in columns.
 
-/// Names and values, one a line, values below each other.
-pub fn pairs(list: &[(&str, String)], indent: &str) -> String {
+/// Formats names and values, one a line, values below each other.
+pub(super) fn pairs(list: &[(&str, String)], indent: &str) -> String {
     let width = list
         .iter()
         .map(|(name, _)| name.chars().count())
@@ -12,8 +12,8 @@
         .collect()
 }
 
-/// Rows in columns that are as wide as their widest cell.
-pub fn columns(rows: &[Vec<String>], indent: &str) -> String {
+/// Formats rows in columns that are as wide as their widest cell.
+pub(super) fn columns(rows: &[Vec<String>], indent: &str) -> String {
     let mut widths: Vec<usize> = Vec::new();
     for row in rows {
         widths.resize(widths.len().max(row.len()), 0);
@@ -32,8 +32,8 @@
     rows.iter().map(line).collect()
 }
 
-/// Names in one line; none if there are none.
-pub fn listed<T: AsRef<str>>(names: &[T]) -> String {
+/// Joins names to one line; "none" if there are none.
+pub(super) fn join<T: AsRef<str>>(names: &[T]) -> String {
     if names.is_empty() {
         return "none".into();
     }
--- a/crates/gateway/src/commands/views.rs
+++ b/crates/gateway/src/commands/views.rs
@@ -1,6 +1,6 @@
 //! Running agents' views, once or again and again.
 
-use super::{address, say, time, wait_for, End};
+use super::{address, block_on, print, time, ExitStatus};
 use crate::clock::{duration, Micros};
 use crate::view;
 use std::io::IsTerminal;
@@ -10,7 +10,7 @@
 const CLEAR: &str = "\x1b[H\x1b[2J";
 
 #[derive(gumdrop::Options)]
-pub struct Options {
+pub(super) struct Options {
     #[options(help = "prints this")]
     help: bool,
     #[options(
@@ -32,41 +32,41 @@
     json: bool,
 }
 
-pub fn run(options: &Options) -> Result<End, String> {
+pub(super) fn run(options: &Options) -> Result<ExitStatus, String> {
     if options.times.is_some() && options.every.is_none() {
         return Err("--times: expected --every with it".into());
     }
-    wait_for(async {
+    block_on(async {
         let mut left = if options.every.is_some() {
             options.times.unwrap_or(u64::MAX)
         } else {
             1
         };
         loop {
-            let all = show(options).await;
+            let all = print_views(options).await;
             left = left.saturating_sub(1);
             match options.every {
-                Some(every) if left > 0 && all != Shown::Unread => {
+                Some(every) if left > 0 && all != Printed::NoReader => {
                     tokio::time::sleep(duration(every)).await
                 }
-                _ => return (all == Shown::All).into(),
+                _ => return (all == Printed::All).into(),
             }
         }
     })
 }
 
 #[derive(PartialEq, Eq)]
-enum Shown {
+enum Printed {
     All,
     /// Some agent did not answer.
     Some,
     /// Nobody reads what is printed any more.
-    Unread,
+    NoReader,
 }
 
 /// Asks all at once and prints the views in the order of the addresses.
-async fn show(options: &Options) -> Shown {
-    let asked: Vec<_> = options
+async fn print_views(options: &Options) -> Printed {
+    let fetches: Vec<_> = options
         .addresses
         .iter()
         .map(|at| tokio::spawn(view::fetch(*at)))
@@ -75,8 +75,8 @@
     if !options.json && options.every.is_some() && std::io::stdout().is_terminal() {
         text.push_str(CLEAR);
     }
-    for (at, asked) in options.addresses.iter().zip(asked) {
-        let view = match asked.await {
+    for (at, fetch) in options.addresses.iter().zip(fetches) {
+        let view = match fetch.await {
             Ok(fetched) => fetched.map_err(|error| error.to_string()),
             Err(panic) => Err(format!("{at}: {panic}")),
         };
@@ -89,20 +89,20 @@
                 text.push_str(&format!("{}\n", view.dump()));
             }
             Ok(view) => text.push_str(&view::table(&view)),
-            Err(wrong) => {
+            Err(error) => {
                 if options.json {
-                    let failed = jzon::object! { address: at.to_string(), wrong: wrong.as_str() };
+                    let failed = jzon::object! { address: at.to_string(), wrong: error.as_str() };
                     text.push_str(&format!("{}\n", failed.dump()));
                 }
-                failed.push(wrong);
+                failed.push(error);
             }
         }
     }
-    let read = say(&text);
-    failed.iter().for_each(|wrong| eprintln!("{wrong}"));
-    match (read, failed.is_empty()) {
-        (false, _) => Shown::Unread,
-        (true, true) => Shown::All,
-        (true, false) => Shown::Some,
+    let has_reader = print(&text);
+    failed.iter().for_each(|error| eprintln!("{error}"));
+    match (has_reader, failed.is_empty()) {
+        (false, _) => Printed::NoReader,
+        (true, true) => Printed::All,
+        (true, false) => Printed::Some,
     }
 }
--- a/crates/gateway/src/controller/endpoint_discovery.rs
+++ b/crates/gateway/src/controller/endpoint_discovery.rs
@@ -21,7 +21,7 @@
 const TOO_MANY_REQUESTS: u16 = 429;
 
 /// Reads the list while this controller leads, until the task is aborted.
-pub async fn run(controller: Arc<Controller>) {
+pub(super) async fn run(controller: Arc<Controller>) {
     let Some(mut platform) = PlatformClient::new(&controller.settings) else {
         return;
     };
--- a/crates/gateway/src/controller/operator_api.rs
+++ b/crates/gateway/src/controller/operator_api.rs
@@ -37,7 +37,7 @@
 type Reply = Response<Full<Bytes>>;
 
 /// Serves operators until the task is aborted.
-pub async fn run(controller: Arc<Controller>, listener: TcpListener) {
+pub(super) async fn run(controller: Arc<Controller>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_RETRY_INTERVAL).await;
@@ -321,18 +321,18 @@
 }
 
 impl RolloutOrder {
-    fn parse(body: &Bytes) -> Result<RolloutOrder, Reply> {
+    fn parse(body: &Bytes) -> Result<RolloutOrder, Box<Reply>> {
         let order = std::str::from_utf8(body)
             .ok()
             .and_then(|text| jzon::parse(text).ok());
         let Some(order) = order.filter(Json::is_object) else {
-            return Err(bad_request("document", "no JSON", "an object"));
+            return Err(Box::new(bad_request("document", "no JSON", "an object")));
         };
         let text = |name: &str| {
             let value = order[name].as_str().filter(|value| !value.is_empty());
             value
                 .map(str::to_owned)
-                .ok_or_else(|| bad_request(name, "nothing", "a text"))
+                .ok_or_else(|| Box::new(bad_request(name, "nothing", "a text")))
         };
         let service = text("service")?;
         let target_version = text("to_edition")?;
@@ -342,7 +342,11 @@
             .filter(|within| *within > 0);
         let Some(within) = within else {
             let found = order["within"].dump();
-            return Err(bad_request("within", &found, "a time above 0 such as 12s"));
+            return Err(Box::new(bad_request(
+                "within",
+                &found,
+                "a time above 0 such as 12s",
+            )));
         };
         Ok(RolloutOrder {
             service,
@@ -363,7 +367,7 @@
 async fn begin_rollout(controller: &Controller, body: &Bytes, path: &str) -> Reply {
     let order = match RolloutOrder::parse(body) {
         Ok(order) => order,
-        Err(reply) => return reply,
+        Err(reply) => return *reply,
     };
     // An order may have lain in a suspended process until long after its time, and one that resumes doesn't lead: so only a
     // controller that leads when it arrives accepts it.
--- a/crates/gateway/src/controller/proxy_outbox.rs
+++ b/crates/gateway/src/controller/proxy_outbox.rs
@@ -15,7 +15,7 @@
 
 /// The proxies' sessions, while this controller leads.
 #[derive(Default)]
-pub struct ProxyOutbox {
+pub(super) struct ProxyOutbox {
     sessions: HashMap<u64, Session>,
     last_session: u64,
     /// Bytes sent to all proxies together: chunks of configurations, and everything else.
--- a/crates/gateway/src/controller/proxy_sessions.rs
+++ b/crates/gateway/src/controller/proxy_sessions.rs
@@ -29,7 +29,7 @@
 const ACCEPT_RETRY_INTERVAL: Micros = 20_000;
 
 /// Serves agents until the task is aborted.
-pub async fn run(controller: Arc<Controller>, listener: TcpListener) {
+pub(super) async fn run(controller: Arc<Controller>, listener: TcpListener) {
     tokio::spawn(send_heartbeats(controller.clone()));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/crates/gateway/src/controller/rollout_controller.rs
+++ b/crates/gateway/src/controller/rollout_controller.rs
@@ -33,7 +33,7 @@
 }
 
 /// Moves rollouts on while this controller leads, until the task is aborted.
-pub async fn run(controller: Arc<Controller>) {
+pub(super) async fn run(controller: Arc<Controller>) {
     let mut active = ActiveRollouts::new();
     let mut leadership: Option<Leadership> = None;
     loop {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,6 +3,8 @@
 //!
 //! The program is `main.rs`; what it runs is this library, so that simulations play it on streams of their own.
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod clock;
 pub mod commands;
 pub mod controller;
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -76,6 +76,7 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
+    /// Creates a reader of a stream.
     pub fn new(from: R) -> FrameReader<R> {
         FrameReader {
             from,
--- a/crates/gateway/src/proxy/forwarding.rs
+++ b/crates/gateway/src/proxy/forwarding.rs
@@ -30,20 +30,20 @@
 #[derive(Clone, Copy, Debug)]
 enum NotSent {
     /// There is no endpoint for it.
-    NoEndpoint(NoEndpoint),
+    Unavailable(NoEndpoint),
     /// The configuration in force has no route for it any more.
-    NoRoute,
+    RouteRemoved,
     /// It is not idempotent and may have run, or has had all its attempts.
-    NoAttemptLeft,
+    AttemptsExhausted,
 }
 
 impl fmt::Display for NotSent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            NotSent::NoEndpoint(NoEndpoint::NoneListed) => "no endpoint is listed",
-            NotSent::NoEndpoint(NoEndpoint::AllBusy) => "all endpoints are full or ejected",
-            NotSent::NoRoute => "there is no route any more",
-            NotSent::NoAttemptLeft => "no attempt is left",
+            NotSent::Unavailable(NoEndpoint::NoneListed) => "no endpoint is listed",
+            NotSent::Unavailable(NoEndpoint::AllBusy) => "all endpoints are full or ejected",
+            NotSent::RouteRemoved => "there is no route any more",
+            NotSent::AttemptsExhausted => "no attempt is left",
         })
     }
 }
@@ -181,7 +181,7 @@
     fn send(&mut self, max_latency: f64) -> Result<(), NotSent> {
         self.refresh_route()?;
         if !self.state.may_send() {
-            return Err(NotSent::NoAttemptLeft);
+            return Err(NotSent::AttemptsExhausted);
         }
         let attempt = self.plan_attempt(max_latency)?;
         self.tried.push(attempt.endpoint);
@@ -203,7 +203,7 @@
             .routes()
             .find(host, path)
             .cloned()
-            .ok_or(NotSent::NoRoute)?;
+            .ok_or(NotSent::RouteRemoved)?;
         if !route
             .destinations
             .iter()
@@ -233,10 +233,10 @@
             Some(selection) => selection,
             None => self
                 .select_serving(now, &mut state)
-                .map_err(NotSent::NoEndpoint)?,
+                .map_err(NotSent::Unavailable)?,
         };
         if selection.expected_latency > max_latency {
-            return Err(NotSent::NoEndpoint(NoEndpoint::AllBusy));
+            return Err(NotSent::Unavailable(NoEndpoint::AllBusy));
         }
         if self.arrived > 0 {
             state.retry_budget.on_retry(&self.service);
@@ -247,7 +247,7 @@
             }
         }
         let listed = state.load_balancer.get(selection.endpoint);
-        let listed = listed.ok_or(NotSent::NoEndpoint(NoEndpoint::NoneListed))?;
+        let listed = listed.ok_or(NotSent::Unavailable(NoEndpoint::NoneListed))?;
         Ok(Attempt {
             endpoint: selection.endpoint,
             id: listed.id.clone(),
--- a/crates/gateway/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -182,7 +182,7 @@
     let folder = Folder::new("told");
     let (code, out, err) = store(&[], &folder.0);
     assert!(
-        code == 1 && out.is_empty() && err.contains("found no store, expected a sorting machine's"),
+        code == 1 && out.is_empty() && err.contains("found no store, expected a controller's"),
         "{err}"
     );
     let held = fill(&folder.0);
--- a/crates/http1/src/framing/lines.rs
+++ b/crates/http1/src/framing/lines.rs
@@ -109,33 +109,33 @@
 }
 
 /// Whether a byte may stand in a token: a method, a name.
-pub fn is_token_byte(byte: u8) -> bool {
+pub(super) fn is_token_byte(byte: u8) -> bool {
     is_in(byte, TOKEN)
 }
 
 /// Whether a byte may stand in a value.
-pub fn is_value_byte(byte: u8) -> bool {
+pub(super) fn is_value_byte(byte: u8) -> bool {
     is_in(byte, VALUE)
 }
 
 /// Whether a byte may stand in a target.
-pub fn is_target_byte(byte: u8) -> bool {
+pub(super) fn is_target_byte(byte: u8) -> bool {
     is_in(byte, TARGET)
 }
 
 /// Whether a byte may stand in a host.
-pub fn is_host_byte(byte: u8) -> bool {
+pub(super) fn is_host_byte(byte: u8) -> bool {
     is_in(byte, HOST)
 }
 
 /// Whether a byte may stand between quotes by itself.
-pub fn is_quoted_byte(byte: u8) -> bool {
+pub(super) fn is_quoted_byte(byte: u8) -> bool {
     is_in(byte, QUOTED)
 }
 
 /// Finds lines in bytes that grow; each byte is read once.
 #[derive(Clone, Debug, Default)]
-pub struct LineReader {
+pub(super) struct LineReader {
     /// Where the line that is being read begins, and up to where it has been looked at.
     begin: usize,
     seen: usize,
@@ -145,7 +145,7 @@
 
 impl LineReader {
     /// Returns the next whole line without its end, if it is there. All lines together take `max` bytes at most.
-    pub fn next<'a>(
+    pub(super) fn next<'a>(
         &mut self,
         bytes: &'a [u8],
         max: usize,
@@ -170,13 +170,13 @@
     }
 
     /// Returns how many bytes the lines so far took.
-    pub fn consumed(&self) -> usize {
+    pub(super) fn consumed(&self) -> usize {
         self.begin
     }
 
     /// Whether the lines so far hold no control characters but tabs and their own ends. One look at all of them costs
     /// less than one at each.
-    pub fn has_no_control_characters(&self, bytes: &[u8]) -> bool {
+    pub(super) fn has_no_control_characters(&self, bytes: &[u8]) -> bool {
         let odd = |b: &u8| u8::from(((*b < b' ') & (*b != b'\t')) | (*b == 0x7f));
         let some = |bytes: &[u8]| usize::from(bytes.iter().fold(0, |sum: u8, b| sum + odd(b)));
         bytes[..self.begin].chunks(128).map(some).sum::<usize>() == 2 * self.count
@@ -184,7 +184,7 @@
 }
 
 /// Splits a header line into name and value; the name is checked.
-pub fn header_line(line: &[u8]) -> Result<(&[u8], &[u8]), FramingError> {
+pub(super) fn header_line(line: &[u8]) -> Result<(&[u8], &[u8]), FramingError> {
     let colon = line
         .iter()
         .position(|b| !is_token_byte(*b))
@@ -196,7 +196,7 @@
 }
 
 /// Returns a value without spaces and tabs around it.
-pub fn trim(mut value: &[u8]) -> &[u8] {
+pub(super) fn trim(mut value: &[u8]) -> &[u8] {
     while let [b' ' | b'\t', rest @ ..] = value {
         value = rest;
     }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -5,6 +5,8 @@
 //! says whether a request may be sent again. [`deduplication`] remembers requests that are not idempotent, in case their
 //! client repeats one.
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod attempt_outcome;
 pub mod deduplication;
 pub mod framing;
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -4,6 +4,8 @@
 //! chooses one for each attempt; [`retry_budget::RetryBudget`] holds this proxy's part of a sum that all proxies together
 //! must keep.
 
+#![warn(missing_docs, unreachable_pub)]
+
 mod endpoint;
 pub mod endpoint_selection;
 pub mod retry_budget;
--- a/crates/raft-store/src/lib.rs
+++ b/crates/raft-store/src/lib.rs
@@ -23,6 +23,8 @@
 //! # Ok::<(), magpieline_raft_store::StoreError>(())
 //! ```
 
+#![warn(missing_docs, unreachable_pub)]
+
 mod database;
 mod directory;
 mod error;
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -66,6 +66,8 @@
 //! | `persistence`, `snapshot_chunks`, `progress`, `pending_requests`, `departures`, `leader_state`, `join_state` | the parts of a node's state |
 //! | `node` | the node itself, a file for each concern |
 
+#![warn(missing_docs, unreachable_pub)]
+
 mod departures;
 mod event;
 mod join_state;
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -7,6 +7,8 @@
 //!
 //! No I/O and no clock.
 
+#![warn(missing_docs, unreachable_pub)]
+
 pub mod analysis;
 pub mod trial;
 
