--- a/tools/raft-simulation/src/bounded_losses.rs
+++ b/tools/raft-simulation/src/bounded_losses.rs
@@ -1,7 +1,8 @@
-//! FailureSchedule as a deployment promises them: never more at once than `tolerated_failures`, the next as soon as the last has had its
+//! Losses of machines as a deployment promises them: never more at once than `tolerated_failures`, the next as soon as the last has had its
 //! `recovery_interval`, and whenever no more than that is lost somebody leads.
 
-use crate::cluster::{Call, Cluster, GRACE};
+use crate::cluster::{Cluster, GRACE};
+use crate::simulated_node::Call;
 use crate::{address, DiskFault, Fault, Micros, MILLI, SECOND};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -10,9 +11,9 @@
 use std::net::SocketAddrV4;
 
 /// Somebody leads again within this.
-pub const LED_WITHIN: Micros = 5 * SECOND;
+const MAX_TIME_WITHOUT_LEADER: Micros = 5 * SECOND;
 /// Machines that one run may bring up beside the first ones: all spare ones of a large deployment, and some.
-const MOST_ADDED: usize = 9;
+const MAX_ADDED: usize = 9;
 /// The longest pause between two looks whether something may be lost.
 const PAUSE: Micros = 400 * MILLI;
 
@@ -47,7 +48,7 @@
     order: u64,
     next_at: Micros,
     /// Since when no more is lost than is to be borne, and when somebody last led.
-    bearable_since: Option<Micros>,
+    within_tolerance_since: Option<Micros>,
     led_at: Micros,
 }
 
@@ -111,7 +112,7 @@
             ahead: BTreeMap::new(),
             order: 0,
             next_at: now,
-            bearable_since: None,
+            within_tolerance_since: None,
             led_at: now,
         };
         let mut call_at = 0;
@@ -130,21 +131,21 @@
                     self.happen(&mut schedule, due);
                 } else if next == call_at {
                     call_at = next + schedule.rng.gen_range(MILLI..150 * MILLI);
-                    self.call_by_chance();
+                    self.call_randomly();
                 } else {
                     schedule.next_at = next + schedule.rng.gen_range(10 * MILLI..PAUSE);
                     self.lose(&mut schedule);
                 }
             }
-            self.see_off(&mut schedule);
-            self.check_led(&mut schedule);
+            self.finish_shutdowns(&mut schedule);
+            self.check_leader(&mut schedule);
         }
         while let Some((_, due)) = schedule.ahead.pop_first() {
             self.happen(&mut schedule, due);
         }
         for machine in 0..schedule.health.len() {
             match schedule.health[machine] {
-                Health::Leaving { again: false, .. } => self.end(machine),
+                Health::Leaving { again: false, .. } => self.remove(machine),
                 Health::Leaving { again: true, .. } => self.simulator.kill(machine),
                 _ => {}
             }
@@ -152,20 +153,20 @@
         self.recover();
     }
 
-    fn check_led(&mut self, schedule: &mut FailureSchedule) {
+    fn check_leader(&mut self, schedule: &mut FailureSchedule) {
         let now = self.simulator.now();
         let count = schedule.count(now, self.simulator.recovery_interval);
         if count > self.simulator.tolerated_failures {
-            schedule.bearable_since = None;
+            schedule.within_tolerance_since = None;
             return;
         }
-        let since = *schedule.bearable_since.get_or_insert(now);
+        let since = *schedule.within_tolerance_since.get_or_insert(now);
         if self.leader().is_some() {
             schedule.led_at = now;
         }
         let silent = now - since.max(schedule.led_at);
         assert!(
-            silent <= LED_WITHIN,
+            silent <= MAX_TIME_WITHOUT_LEADER,
             "nobody leads, {count} lost, {:?}: {}",
             schedule.health,
             self.report()
@@ -173,7 +174,7 @@
     }
 
     /// Those that have left, or whose time to do so is over.
-    fn see_off(&mut self, schedule: &mut FailureSchedule) {
+    fn finish_shutdowns(&mut self, schedule: &mut FailureSchedule) {
         let now = self.simulator.now();
         for machine in 0..schedule.health.len() {
             let Health::Leaving { again, ends } = schedule.health[machine] else {
@@ -182,7 +183,7 @@
             if now < ends
                 && !self
                     .node(machine)
-                    .is_some_and(|node| node.core().has_left())
+                    .is_some_and(|node| node.raft().has_left())
             {
                 continue;
             }
@@ -192,7 +193,7 @@
                 let back = now + schedule.rng.gen_range(50 * MILLI..2 * SECOND);
                 schedule.later(back, Due::Back(machine));
             } else {
-                self.end(machine);
+                self.remove(machine);
                 schedule.health[machine] = Health::Gone;
             }
         }
@@ -256,7 +257,7 @@
         let machine = self.add_with(seeds);
         schedule.health.push(Health::Up(self.simulator.now()));
         schedule.successor.insert(of, machine);
-        self.tell(Fault::Replace { of, by: machine });
+        self.record_fault(Fault::Replace { of, by: machine });
         self.cut_off
             .clone()
             .into_iter()
@@ -283,7 +284,7 @@
                 .any(|successor| *successor == machine)
         };
         match schedule.health[machine] {
-            Health::Gone if room > 0 && added < MOST_ADDED && draw < 30 => {
+            Health::Gone if room > 0 && added < MAX_ADDED && draw < 30 => {
                 // Back from the dead, as a machine more.
                 if schedule.rng.gen() {
                     self.wipe(machine);
@@ -294,7 +295,7 @@
                 // Who took its place is a machine of its own now.
                 schedule.successor.remove(&machine);
                 schedule.health[machine] = Health::Up(now);
-                return self.tell(Fault::Return(machine));
+                return self.record_fault(Fault::Return(machine));
             }
             Health::Up(_) => {}
             _ => return,
@@ -352,9 +353,9 @@
                     again: true,
                     ends: now + GRACE,
                 };
-                return self.tell(Fault::Restart(machine));
+                return self.record_fault(Fault::Restart(machine));
             }
-            760..880 if added < MOST_ADDED && !covered => {
+            760..880 if added < MAX_ADDED && !covered => {
                 // A successor comes first, or after, or long after.
                 if schedule.rng.gen() {
                     return self.succeed(schedule, machine);
@@ -363,17 +364,17 @@
                 schedule.later(now + wait, Due::Successor(machine));
                 return self.retire(schedule, machine);
             }
-            880..960 if added < MOST_ADDED && !covered => {
+            880..960 if added < MAX_ADDED && !covered => {
                 // Lost for good, and not in order.
-                self.end(machine);
+                self.remove(machine);
                 schedule.health[machine] = Health::Gone;
                 let wait = schedule.rng.gen_range(0..3 * SECOND);
                 schedule.later(now + wait, Due::Successor(machine));
-                return self.tell(Fault::Lost(machine));
+                return self.record_fault(Fault::Lost(machine));
             }
             _ => return,
         };
-        self.tell(fault);
+        self.record_fault(fault);
         schedule.health[machine] = Health::Lost;
         schedule.later(back, Due::Back(machine));
     }
@@ -382,7 +383,7 @@
         self.call(machine, Call::Leave);
         let ends = self.simulator.now() + GRACE;
         schedule.health[machine] = Health::Leaving { again: false, ends };
-        self.tell(Fault::Decommission(machine));
+        self.record_fault(Fault::Decommission(machine));
     }
 
     /// All processes end at once, or all power goes; as many as may still be lost lose their disks.
@@ -395,12 +396,12 @@
                 Health::Up(_) if room > 0 && schedule.rng.gen_ratio(1, 3) => {
                     room -= 1;
                     self.wipe(machine);
-                    self.tell(Fault::Wipe(machine));
+                    self.record_fault(Fault::Wipe(machine));
                 }
                 _ => self.simulator.kill(machine),
             }
             if let Health::Leaving { again: false, .. } = schedule.health[machine] {
-                self.end(machine);
+                self.remove(machine);
                 schedule.health[machine] = Health::Gone;
                 continue;
             }
@@ -408,6 +409,6 @@
             let back = now + schedule.rng.gen_range(50 * MILLI..SECOND);
             schedule.later(back, Due::Back(machine));
         }
-        self.tell(Fault::KillAll);
+        self.record_fault(Fault::KillAll);
     }
 }
--- a/tools/raft-simulation/src/fault_injection.rs
+++ b/tools/raft-simulation/src/fault_injection.rs
@@ -11,20 +11,26 @@
 pub enum Fault {
     /// The process ends, or the machine loses power, and comes back.
     Kill(usize),
+    /// All machines lose power, and come back.
     KillAll,
     /// Comes back with an empty disk.
     Wipe(usize),
+    /// The process stops for a while and goes on.
     Pause(usize),
     /// Nothing passes between the two.
     Partition(usize, usize),
+    /// Nothing passes one way.
     OneWayPartition {
+        /// Who is not heard.
         from: usize,
+        /// By whom.
         to: usize,
     },
     /// Nothing comes in.
     NoInbound(usize),
     /// Nothing goes out.
     NoOutbound(usize),
+    /// A disk is in trouble.
     Disk(usize, DiskFault),
     /// Short of processor time.
     Slow(usize),
@@ -40,7 +46,9 @@
     Lost(usize),
     /// A new machine takes the place of one that is gone, or will be.
     Replace {
+        /// Whose place is taken.
         of: usize,
+        /// By whom.
         by: usize,
     },
     /// One that was gone for good starts.
--- a/tools/raft-simulation/src/linearizability.rs
+++ b/tools/raft-simulation/src/linearizability.rs
@@ -9,7 +9,9 @@
 /// A call as its caller saw it. Times are the caller's, in microseconds.
 #[derive(Clone, Debug)]
 pub struct RecordedCall<Q, A> {
+    /// What was asked for.
     pub request: Q,
+    /// When it was sent.
     pub sent: u64,
     /// When the answer came, and what it was. None: lost, or unclear; it may have been done then, later, or never.
     pub response: Option<(u64, A)>,
@@ -17,9 +19,13 @@
 
 /// What a machine may do that does one thing at a time.
 pub trait Model {
+    /// The state of the machine.
     type State: Clone + Eq + Hash + Debug;
+    /// What may be asked for.
     type Request: Debug;
+    /// What may be answered.
     type Response: Debug;
+    /// Returns the first state.
     fn start(&self) -> Self::State;
     /// The state after a call that is answered so; None where it can't be. Without an answer: after it is done, which it
     /// can be once only: a second time changes nothing.
@@ -196,14 +202,25 @@
 /// A document is named by a version of the history's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigRequest {
-    Replace { version: u64, document: u64 },
+    /// Replaces the configuration.
+    Replace {
+        /// The version.
+        version: u64,
+        /// Names the document.
+        document: u64,
+    },
+    /// Reads the configuration.
     Read,
 }
 
+/// What a caller is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigResponse {
+    /// It is in force, or was before a newer one.
     Accepted,
+    /// Another document has the version.
     Conflict,
+    /// Version and document in force.
     Current(Option<(u64, u64)>),
 }
 
@@ -277,31 +294,43 @@
 /// RolloutModel of one service: one at a time, each order once. Calls with one `order` are copies of it.
 pub struct RolloutModel;
 
+/// What is asked of rollouts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutRequest {
     /// `content` names version and term.
     Begin {
+        /// Which order it is a copy of.
         order: u64,
+        /// What it names.
         content: u64,
     },
+    /// Reads the newest rollout.
     Read,
 }
 
+/// How far a rollout is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RolloutStatus {
+    /// It is in progress.
     Active,
+    /// The service has moved.
     Completed,
+    /// The service was moved back.
     RolledBack,
 }
 
+/// What a caller is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutResponse {
+    /// It began, or had begun.
     Accepted,
+    /// Another rollout is in progress.
     Conflict,
     /// The newest one's content, and how far it is.
     Newest(Option<(u64, RolloutStatus)>),
 }
 
+/// A service as one machine would keep it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Service {
     taken: Vec<u64>,
--- a/tools/raft-simulation/src/main.rs
+++ b/tools/raft-simulation/src/main.rs
@@ -154,24 +154,24 @@
         let LongRunSummary {
             acknowledged,
             disruptions,
-            quarantine,
-            most_on_disk,
+            quarantined,
+            max_disk_bytes,
             terms,
             longest_change,
-            took,
+            recovery_times,
         } = run;
         println!(
-            "seed {seed}: {acknowledged} changes, {disruptions} trials, {quarantine} set aside, {terms} terms, most on disk {} MB, \
+            "seed {seed}: {acknowledged} changes, {disruptions} trials, {quarantined} set aside, {terms} terms, most on disk {} MB, \
             longest change {} ms",
-            most_on_disk >> 20,
+            max_disk_bytes >> 20,
             longest_change / MILLI
         );
         let mut by_trial: BTreeMap<String, Vec<Micros>> = BTreeMap::new();
-        for (disruption, took) in took {
+        for (disruption, recovery_time) in recovery_times {
             by_trial
                 .entry(format!("{disruption:?}"))
                 .or_default()
-                .push(took / MILLI);
+                .push(recovery_time / MILLI);
         }
         for (disruption, mut times) in by_trial {
             times.sort_unstable();
@@ -348,7 +348,7 @@
         until(&mut cluster, |cluster| {
             cluster
                 .node(wiped)
-                .is_some_and(|node| node.core().is_voter())
+                .is_some_and(|node| node.raft().is_voter())
         })
     });
     tell("proposal to acknowledgement", &|seed| {
--- a/tools/raft-simulation/src/operator_node.rs
+++ b/tools/raft-simulation/src/operator_node.rs
@@ -5,14 +5,14 @@
 use magpieline_control_plane::deduplication::{AcceptanceClock, Arrival, Digest, OrderContent};
 use magpieline_control_plane::state_machine::{self, Command, ControlState, Phase, StoredConfig};
 use magpieline_raft::{
-    Action, Config, Envelope, Event, Index, Outcome, PersistentState, RaftNode, WriteBatch,
+    Action, Envelope, Event, Index, Outcome, PersistentState, RaftNode, WriteBatch,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
 /// How long an order may be repeated, as the settings say.
-pub const RECEIPT: Micros = 5 * SECOND;
+pub(crate) const RECEIPT: Micros = 5 * SECOND;
 /// A call is answered within this,
 const CALL_TIMEOUT: Micros = 800 * MILLI;
 /// and submitted again so much later while nothing was done.
@@ -391,19 +391,11 @@
     type Observation = Observation;
 
     fn start(boot: &BootOptions, now: Micros, disk: &PersistentState) -> (OperatorNode, Effects) {
-        let config = Config {
-            address: boot.address,
-            seeds: boot.seeds.clone(),
-            first_run: boot.first_run,
-            seed: boot.seed,
-            tolerated_failures: boot.tolerated_failures,
-            recovery_interval: boot.recovery_interval,
-        };
-        let (raft, actions) = RaftNode::start(now, config, disk.clone());
+        let (raft, actions) = RaftNode::start(now, boot.raft_config(), disk.clone());
         let mut node = OperatorNode {
             raft,
             state: ControlState::default(),
-            acceptance_clock: AcceptanceClock::new(now, boot.day),
+            acceptance_clock: AcceptanceClock::new(now, boot.time_of_day),
             calls: BTreeMap::new(),
             last_request_id: 0,
             applied_index: 0,
--- a/tools/raft-simulation/src/operator_workload.rs
+++ b/tools/raft-simulation/src/operator_workload.rs
@@ -1,122 +1,59 @@
-//! Operators who call the sorting machines while things break: several at once, sending again what got no clear answer
-//! (or was answered already), to any machine, with answers lost on their way. What they saw is checked at the end as a
-//! history; what the machines did, after every step.
+//! Operators who call the controllers while things break: several at once, repeating what got no clear response (or had one
+//! already), at any controller, with responses lost on their way. What they saw is checked at the end as a history; what
+//! the controllers did, after every step.
 
-use crate::linearizability::{
-    self, ConfigModel, ConfigRequest, ConfigResponse, RecordedCall, RolloutModel, RolloutRequest,
-    RolloutResponse, RolloutStatus,
-};
-use crate::operator_node::{
-    Call, Observation, OperatorNode, OperatorRequest, OperatorResponse, RECEIPT,
-};
+mod checks;
+mod history;
+
+use crate::operator_node::{Call, OperatorNode, OperatorRequest, OperatorResponse, RECEIPT};
 use crate::{
-    address, DiskFault, Fault, FaultInjector, Micros, NetworkProfile, Observer, Process, Simulator,
-    MILLI, SECOND,
+    address, DiskFault, Fault, FaultInjector, Micros, NetworkProfile, Process, Simulator, MILLI,
+    SECOND,
 };
-use magpieline_control_plane::deduplication::Digest;
-use magpieline_control_plane::state_machine::{Command, ControlState, Effect, Phase};
-use magpieline_raft::{Index, RaftNode};
+use checks::Checks;
+use magpieline_control_plane::state_machine::{Command, Phase};
+use magpieline_raft::RaftNode;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use std::collections::{BTreeMap, HashMap};
-use std::sync::Arc;
+use std::collections::BTreeMap;
 
-/// Orders under way at once.
+/// Calls in progress at once.
 const MAX_CONCURRENT_CALLS: usize = 8;
-/// An operator waits so long for an answer, and follows so many redirects.
+/// An operator waits so long for a response, and follows so many redirects.
 const RESPONSE_TIMEOUT: Micros = SECOND;
 const MAX_REDIRECTS: u32 = 2;
-/// A configuration is sent until it is taken, for so long.
+/// A configuration is sent until it is accepted, for so long.
 const MAX_RETRY_TIME: Micros = 40 * SECOND;
-/// A way of a call or of an answer. Calls that are held up longer are dropped with their connection.
+/// The longest way of a call or of a response. Calls that are held up longer are dropped with their connection.
 const MAX_DELIVERY_DELAY: Micros = 300 * MILLI;
-/// The same version is ordered anew only this long after the last time: every machine's clock then agrees that it is new.
+/// The same version is ordered again only this long after the last time: every controller's clock then agrees that it is new.
 const REPEAT_ORDER_AFTER: Micros = 25 * SECOND;
-/// A wiped machine is back within three seconds, and has what it needs some seconds after.
+/// A wiped controller is back within three seconds, and has what it needs some seconds after.
 const MIN_WIPE_INTERVAL: Micros = 8 * SECOND;
 const SERVICES: [&str; 2] = ["alpha", "beta"];
-/// A term of no particular length.
+/// A time of no particular length.
 const WITHIN: u64 = 12 * SECOND;
 
-/// What the machines did, checked as they do it.
-#[derive(Default)]
-struct Checks {
-    now: Micros,
-    /// By place in the log: command, effect, when it was first applied.
-    log: BTreeMap<Index, (Command, Effect, Micros)>,
-    reference: ControlState,
-    /// The reference's digest after each place.
-    states: BTreeMap<Index, Digest>,
-    responses: Vec<(u64, OperatorResponse)>,
-}
-
-fn digest(state: &ControlState) -> Digest {
-    Digest::of(&format!("{state:?}"))
-}
-
-impl Observer<OperatorNode> for Checks {
-    fn observed(&mut self, machine: usize, note: Observation) {
-        match note {
-            Observation::Responded { id, response } => self.responses.push((id, response)),
-            Observation::Applied {
-                index,
-                command,
-                effect,
-            } => match self.log.get(&index) {
-                Some((c, e, _)) => {
-                    assert_eq!(
-                        (c, e),
-                        (&command, &effect),
-                        "machine {machine} differs at {index}"
-                    );
-                }
-                None => {
-                    let last = self.log.last_key_value().map_or(0, |(last, _)| *last);
-                    assert!(
-                        last < index,
-                        "machine {machine} applies {index} after {last}"
-                    );
-                    let expected = self.reference.apply(index, &command);
-                    assert_eq!(effect, expected, "machine {machine} at {index}");
-                    self.states.insert(index, digest(&self.reference));
-                    self.log.insert(index, (command, effect, self.now));
-                }
-            },
-            Observation::Restored { index, state } => {
-                let known = self
-                    .states
-                    .get(&index)
-                    .unwrap_or_else(|| panic!("{index} was never applied"));
-                assert_eq!(
-                    *known,
-                    digest(&state),
-                    "machine {machine}'s snapshot at {index}"
-                );
-            }
-        }
-    }
-}
-
 /// What an operator wants done, in one call or several copies of it.
 struct Order {
     request: OperatorRequest,
     first_sent: Micros,
     /// Nothing is sent after this.
     until: Micros,
-    /// When it is sent next; None while a copy is under way, or it is over.
+    /// When it is sent next; None while a copy is in progress, or it is over.
     next_at: Option<Micros>,
     pause: Micros,
     /// Copies that are still to be sent after a clear answer.
     copies: u32,
 }
 
-/// One copy of an order.
-struct Sent {
+/// One copy of an order, as it was sent.
+struct SentCall {
     order: usize,
     sent: Micros,
     redirects: u32,
-    back: Option<(Micros, OperatorResponse)>,
+    response: Option<(Micros, OperatorResponse)>,
     /// The operator still waits.
     open: bool,
 }
@@ -127,22 +64,33 @@
     Timeout { id: u64 },
 }
 
-/// What happened in a run, for who wants to see that it was one.
+/// What happened in a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkloadTotals {
+    /// Steps of processes.
     pub steps: u64,
+    /// Calls sent.
     pub calls: u64,
+    /// Changes accepted.
     pub accepted: u64,
+    /// Changes rejected.
     pub rejected: u64,
+    /// Reads answered.
     pub reads: u64,
+    /// Calls without a clear answer.
     pub unanswered: u64,
+    /// Commands applied.
     pub entries: u64,
+    /// Rollouts begun.
     pub rollouts: u64,
+    /// Faults injected.
     pub faults: u64,
+    /// Disks lost.
     pub wipes: u64,
 }
 
 impl WorkloadTotals {
+    /// Adds another run's totals.
     pub fn add(&mut self, other: &WorkloadTotals) {
         self.steps += other.steps;
         self.calls += other.calls;
@@ -157,7 +105,7 @@
     }
 }
 
-/// Sorting machines, operators, and what breaks.
+/// Controllers, operators, and what breaks.
 pub struct OperatorWorkload {
     simulator: Simulator<OperatorNode>,
     checks: Checks,
@@ -165,7 +113,7 @@
     rng: ChaCha8Rng,
     machines: usize,
     orders: Vec<Order>,
-    sent: BTreeMap<u64, Sent>,
+    sent: BTreeMap<u64, SentCall>,
     deliveries: BTreeMap<(Micros, u64), Delivery>,
     serial: u64,
     order_at: Micros,
@@ -178,7 +126,7 @@
 }
 
 impl OperatorWorkload {
-    /// Starts so many machines for the first time.
+    /// Starts so many controllers for the first time.
     pub fn new(seed: u64, machines: usize) -> OperatorWorkload {
         let mut simulator = Simulator::new(seed, NetworkProfile::RELIABLE);
         let mut checks = Checks::default();
@@ -207,8 +155,8 @@
         }
     }
 
-    /// Operators call and things break for so many steps; then all is mended, all is read back and the history is looked
-    /// at. Panics with what is wrong.
+    /// Lets operators call and things break for so many steps; then all is repaired, all is read back and the history is
+    /// checked. Panics with what is wrong.
     pub fn run(&mut self, steps: u64) -> WorkloadTotals {
         while self.simulator.steps() < steps {
             self.step(Micros::MAX);
@@ -236,7 +184,7 @@
             let clear = self
                 .sent
                 .values()
-                .any(|s| s.order == order && s.back.is_some());
+                .any(|s| s.order == order && s.response.is_some());
             assert!(
                 clear,
                 "{:?} got no answer at the end\n{}",
@@ -255,7 +203,7 @@
         }
     }
 
-    /// The next thing happens, at `end` at the latest.
+    /// Lets the next thing happen, at `end` at the latest.
     fn step(&mut self, end: Micros) {
         let due = self
             .orders
@@ -343,13 +291,13 @@
         self.deliveries.insert((at, self.serial), delivery);
     }
 
-    /// Operators' turn.
+    /// Does what is due on the operators' side.
     fn act(&mut self) {
         let now = self.simulator.now();
         if now >= self.order_at {
             self.order_at = now + self.rng.gen_range(20 * MILLI..600 * MILLI);
-            let under_way = self.sent.values().filter(|s| s.open).count();
-            if under_way < MAX_CONCURRENT_CALLS {
+            let active_calls = self.sent.values().filter(|s| s.open).count();
+            if active_calls < MAX_CONCURRENT_CALLS {
                 self.draw_order();
             }
         }
@@ -427,7 +375,7 @@
         }
     }
 
-    /// A new version, or one that was ordered long ago, perhaps within another term.
+    /// Draws a new version, or one that was ordered long ago.
     fn version(&mut self, service: &str) -> (String, u64) {
         let now = self.simulator.now();
         let mut last: BTreeMap<(&str, u64), Micros> = BTreeMap::new();
@@ -478,11 +426,11 @@
         let id = self.sent.len() as u64;
         self.sent.insert(
             id,
-            Sent {
+            SentCall {
                 order,
                 sent: now,
                 redirects: 0,
-                back: None,
+                response: None,
                 open: true,
             },
         );
@@ -497,7 +445,7 @@
 
     fn on_request(&mut self, id: u64, machine: usize) {
         let request = self.orders[self.sent[&id].order].request.clone();
-        let time_of_day = self.simulator.day(machine);
+        let time_of_day = self.simulator.time_of_day(machine);
         self.simulator.call(
             machine,
             Call::Request {
@@ -529,7 +477,7 @@
                 return self.retry(order);
             }
             clear => {
-                sent.back = Some((now, clear));
+                sent.response = Some((now, clear));
                 sent.open = false;
             }
         }
@@ -542,7 +490,7 @@
         }
     }
 
-    /// No clear answer: the same is sent again after a pause that grows.
+    /// Sends the same again after a pause that grows, as there was no clear response.
     fn retry(&mut self, order: usize) {
         let at = self.simulator.now() + self.rng.gen_range(MILLI..self.orders[order].pause);
         let order = &mut self.orders[order];
@@ -550,7 +498,7 @@
         order.next_at = Some(at);
     }
 
-    /// A leader's steward decides on rollouts.
+    /// Decides on rollouts, as the rollout controller of a leader does.
     fn advance_rollouts(&mut self) {
         for machine in 0..self.machines {
             let Some(node) = self.simulator.node(machine) else {
@@ -559,10 +507,10 @@
             if node.raft().leader() != Some(node.raft().id().address) {
                 continue;
             }
-            let under_way = SERVICES
+            let active_calls = SERVICES
                 .iter()
                 .filter_map(|s| Some((*s, node.state().active_rollout(s)?.clone())));
-            for (service, rollout) in under_way.collect::<Vec<_>>() {
+            for (service, rollout) in active_calls.collect::<Vec<_>>() {
                 let phase = match rollout.phase {
                     _ if self.rng.gen_ratio(2, 5) => Phase::RolledBack,
                     Phase::Promoting => Phase::Completed,
@@ -578,274 +526,4 @@
             }
         }
     }
-
-    /// Looks at the whole history.
-    fn check_history(&self) {
-        if let Err(wrong) = linearizability::check(&ConfigModel, &self.config_calls()) {
-            panic!("configurations: {wrong}\n{}", self.report());
-        }
-        for service in SERVICES {
-            if let Err(wrong) = linearizability::check(&RolloutModel, &self.rollout_calls(service))
-            {
-                panic!("rollouts of {service}: {wrong}\n{}", self.report());
-            }
-            self.check_one_rollout_at_a_time(service);
-            self.check_executions(service);
-        }
-    }
-
-    /// How the machines stand, and what broke last, for who reads a failure.
-    fn report(&self) -> String {
-        let mut lines = vec![format!("at {} ms", self.simulator.now() / MILLI)];
-        for machine in 0..self.machines {
-            lines.push(match self.simulator.node(machine) {
-                None => format!("{machine}: down"),
-                Some(node) => {
-                    let raft = node.raft();
-                    let (own, voters) = (raft.id().incarnation % 1000, raft.voters());
-                    let incarnations: Vec<u64> = voters.iter().map(|node_id| node_id.incarnation % 1000).collect();
-                    format!(
-                        "{machine}: {:?} term {} last {} commit {} incarnation {own} voters {incarnations:?}",
-                        raft.role(),
-                        raft.term(),
-                        raft.last_index(),
-                        raft.commit_index()
-                    )
-                }
-            });
-        }
-        let from = self.faults.len().saturating_sub(30);
-        lines.extend(
-            self.faults[from..]
-                .iter()
-                .map(|(at, fault)| format!("{} ms {fault:?}", at / MILLI)),
-        );
-        lines.join("\n")
-    }
-
-    fn config_calls(&self) -> Vec<RecordedCall<ConfigRequest, ConfigResponse>> {
-        let mut names: HashMap<Arc<str>, u64> = HashMap::new();
-        let mut name = |text: &Arc<str>| {
-            let next = names.len() as u64;
-            *names.entry(text.clone()).or_insert(next)
-        };
-        let mut calls = Vec::new();
-        for sent in self.sent.values() {
-            let request = match &self.orders[sent.order].request {
-                OperatorRequest::ReplaceConfig { version, text } => ConfigRequest::Replace {
-                    version: *version,
-                    document: name(text),
-                },
-                OperatorRequest::ReadConfig => ConfigRequest::Read,
-                OperatorRequest::BeginRollout { .. } | OperatorRequest::ReadRollout { .. } => {
-                    continue
-                }
-            };
-            let response = sent.back.as_ref().map(|(at, answer)| {
-                let answer = match answer {
-                    OperatorResponse::Accepted => ConfigResponse::Accepted,
-                    OperatorResponse::Conflict => ConfigResponse::Conflict,
-                    OperatorResponse::Config(held) => {
-                        ConfigResponse::Current(held.as_ref().map(|(n, text)| (*n, name(text))))
-                    }
-                    other => panic!("{request:?} was answered {other:?}"),
-                };
-                (*at, answer)
-            });
-            if response.is_some() || request != ConfigRequest::Read {
-                calls.push(RecordedCall {
-                    request,
-                    sent: sent.sent,
-                    response,
-                });
-            }
-        }
-        calls
-    }
-
-    fn rollout_calls(&self, of: &str) -> Vec<RecordedCall<RolloutRequest, RolloutResponse>> {
-        let mut names: HashMap<(String, u64), u64> = HashMap::new();
-        let mut name = |to: &str, within: u64| {
-            let next = names.len() as u64;
-            *names.entry((to.to_owned(), within)).or_insert(next)
-        };
-        let mut calls = Vec::new();
-        for sent in self.sent.values() {
-            let request = match &self.orders[sent.order].request {
-                OperatorRequest::BeginRollout {
-                    service,
-                    target_version,
-                    within,
-                } if *service == of => RolloutRequest::Begin {
-                    order: sent.order as u64,
-                    content: name(target_version, *within),
-                },
-                OperatorRequest::ReadRollout { service } if *service == of => RolloutRequest::Read,
-                _ => continue,
-            };
-            let response = sent.back.as_ref().map(|(at, answer)| {
-                let answer = match answer {
-                    OperatorResponse::Accepted => RolloutResponse::Accepted,
-                    OperatorResponse::Conflict => RolloutResponse::Conflict,
-                    OperatorResponse::Rollout(newest) => RolloutResponse::Newest(
-                        newest.as_ref().map(|(target_version, within, phase)| {
-                            let status = match phase {
-                                Phase::Trial | Phase::Promoting => RolloutStatus::Active,
-                                Phase::Completed => RolloutStatus::Completed,
-                                Phase::RolledBack => RolloutStatus::RolledBack,
-                            };
-                            (name(target_version, *within), status)
-                        }),
-                    ),
-                    other => panic!("{request:?} was answered {other:?}"),
-                };
-                (*at, answer)
-            });
-            if response.is_some() || request != RolloutRequest::Read {
-                calls.push(RecordedCall {
-                    request,
-                    sent: sent.sent,
-                    response,
-                });
-            }
-        }
-        calls
-    }
-
-    /// One rollout of a service at a time, and each ends before the next begins.
-    fn check_one_rollout_at_a_time(&self, of: &str) {
-        let mut under_way = None;
-        for (index, (command, effect, _)) in &self.checks.log {
-            match command {
-                Command::BeginRollout { service, .. }
-                    if service == of && *effect == Effect::ServiceChanged =>
-                {
-                    assert_eq!(
-                        under_way,
-                        None,
-                        "{of}: another rollout began at {index}\n{}",
-                        self.report()
-                    );
-                    under_way = Some(*index);
-                }
-                Command::AdvanceRollout {
-                    service,
-                    id,
-                    phase: Phase::Completed | Phase::RolledBack,
-                } if service == of && *effect == Effect::ServiceChanged => {
-                    assert_eq!(
-                        under_way,
-                        Some(*id),
-                        "{of}: the step at {index}\n{}",
-                        self.report()
-                    );
-                    under_way = None;
-                }
-                _ => {}
-            }
-        }
-    }
-
-    /// No order ran twice, and none that was acknowledged was passed over: of each content, as many rollouts began by any
-    /// moment as orders were sent by then at most; and for each acknowledged order there is an entry of its own time that
-    /// took it.
-    fn check_executions(&self, service: &str) {
-        let entries = self
-            .checks
-            .log
-            .values()
-            .filter_map(|(command, effect, at)| match command {
-                Command::BeginRollout {
-                    service: s,
-                    target_version,
-                    within,
-                    ..
-                } if s == service => Some(((target_version.as_str(), *within), effect, *at)),
-                _ => None,
-            });
-        let entries: Vec<_> = entries.collect();
-        let orders = self
-            .orders
-            .iter()
-            .enumerate()
-            .filter_map(|(i, order)| match &order.request {
-                OperatorRequest::BeginRollout {
-                    service: s,
-                    target_version,
-                    within,
-                } if *s == service => {
-                    Some((i, (target_version.as_str(), *within), order.first_sent))
-                }
-                _ => None,
-            });
-        let orders: Vec<_> = orders.collect();
-        for (content, _, at) in &entries {
-            let ran = |(c, e, a): &&((&str, u64), &Effect, Micros)| {
-                c == content && **e == Effect::ServiceChanged && a <= at
-            };
-            let ran = entries.iter().filter(ran).count();
-            let sent = orders
-                .iter()
-                .filter(|(_, c, sent)| c == content && sent <= at)
-                .count();
-            assert!(
-                ran <= sent,
-                "{service} {content:?}: {ran} rollouts for {sent} orders, {:?}",
-                self.faults
-            );
-        }
-        for (order, content, first_sent) in &orders {
-            let of = |s: &&Sent| s.order == *order;
-            let taken = |s: &&Sent| {
-                s.back
-                    .as_ref()
-                    .is_some_and(|(_, answer)| *answer == OperatorResponse::Accepted)
-            };
-            let Some(first) = self.sent.values().filter(of).find(taken) else {
-                continue;
-            };
-            let acknowledged = first.back.as_ref().map_or(0, |(at, _)| *at);
-            let its = |(c, e, at): &&((&str, u64), &Effect, Micros)| {
-                c == content && e.is_accepted() && (first_sent..=&acknowledged).contains(&at)
-            };
-            let taken = entries.iter().find(its);
-            assert!(
-                taken.is_some(),
-                "{service} {content:?}, sent at {first_sent}, was acknowledged and not taken"
-            );
-        }
-    }
-
-    fn totals(&self) -> WorkloadTotals {
-        let answered = |wanted: fn(&OperatorResponse) -> bool| {
-            let answers = self.sent.values().filter_map(|s| s.back.as_ref());
-            answers.filter(|(_, answer)| wanted(answer)).count() as u64
-        };
-        let effects = self.checks.log.values();
-        WorkloadTotals {
-            steps: self.simulator.steps(),
-            calls: self.sent.len() as u64,
-            accepted: answered(|a| *a == OperatorResponse::Accepted),
-            rejected: answered(|a| *a == OperatorResponse::Conflict),
-            reads: answered(|a| {
-                matches!(
-                    a,
-                    OperatorResponse::Config(_) | OperatorResponse::Rollout(_)
-                )
-            }),
-            unanswered: self.sent.values().filter(|s| s.back.is_none()).count() as u64,
-            entries: self.checks.log.len() as u64,
-            rollouts: effects
-                .filter(|(c, e, _)| {
-                    matches!(c, Command::BeginRollout { .. }) && *e == Effect::ServiceChanged
-                })
-                .count() as u64,
-            faults: self.faults.len() as u64,
-            wipes: self
-                .faults
-                .iter()
-                .filter(|(_, f)| matches!(f, Fault::Wipe(_)))
-                .count() as u64,
-        }
-    }
 }
--- a/tools/raft-simulation/src/simulator.rs
+++ b/tools/raft-simulation/src/simulator.rs
@@ -9,21 +9,41 @@
 /// What a process is told at its start.
 #[derive(Clone, Debug)]
 pub struct BootOptions {
+    /// Where the process listens.
     pub address: SocketAddrV4,
+    /// Where it finds others.
     pub seeds: Vec<SocketAddrV4>,
+    /// Whether the system starts for the first time.
     pub first_run: bool,
     /// Different at every start.
     pub seed: u64,
     /// The machine's time of day at the start, microseconds since 1970.
-    pub day: Micros,
+    pub time_of_day: Micros,
     /// How many machines may be lost at once, and how long after its return a machine still counts as lost.
     pub tolerated_failures: usize,
+    /// How long after its return a machine still counts as lost.
     pub recovery_interval: Micros,
 }
 
-/// What happens to a node.
+impl BootOptions {
+    /// Returns what a Raft node is configured with.
+    pub fn raft_config(&self) -> magpieline_raft::Config {
+        magpieline_raft::Config {
+            address: self.address,
+            seeds: self.seeds.clone(),
+            first_run: self.first_run,
+            seed: self.seed,
+            tolerated_failures: self.tolerated_failures,
+            recovery_interval: self.recovery_interval,
+        }
+    }
+}
+
+/// What happens to a process.
 pub enum Input<N: Process> {
+    /// It is time to look at the clock.
     Tick,
+    /// A message arrives.
     Message(N::Message),
     /// The write of this serial is on disk.
     Synced(u64),
@@ -35,29 +55,44 @@
 
 /// What a node does.
 pub enum Effect<N: Process> {
+    /// It sends a message.
     Send {
+        /// To whom.
         to: SocketAddrV4,
+        /// The message.
         message: N::Message,
     },
     /// One at a time.
-    Write { serial: u64, write: N::Write },
+    Write {
+        /// Tells writes apart.
+        serial: u64,
+        /// What is written.
+        write: N::Write,
+    },
     /// For the one who watches.
     Observation(N::Observation),
 }
 
 /// A core that runs on a machine: no I/O, no clock.
 pub trait Process: Sized {
+    /// What processes send to each other.
     type Message: Clone;
     /// What is written in one go, all of it or nothing.
     type Write;
     /// What is on the disk; empty by default. `()` for those without one.
     type Disk: Default;
+    /// What is done to a process from outside.
     type Call;
+    /// What a process shows to the observer.
     type Observation;
 
+    /// Starts the process with what is on the disk.
     fn start(boot: &BootOptions, now: Micros, disk: &Self::Disk) -> (Self, Vec<Effect<Self>>);
+    /// Takes an input. Returns what the process does.
     fn step(&mut self, now: Micros, input: Input<Self>) -> Vec<Effect<Self>>;
+    /// Returns when it is to be woken.
     fn next_wake(&self) -> Option<Micros>;
+    /// Puts a write on the disk.
     fn put(disk: &mut Self::Disk, write: Self::Write);
 
     /// Bytes of a message on a link, where links are narrow.
@@ -70,7 +105,8 @@
 pub trait Observer<N: Process> {
     /// `machine` sends a message; `disk` is what would survive a loss of power just then.
     fn sent(&mut self, _machine: usize, _disk: &N::Disk, _message: &N::Message) {}
-    fn observed(&mut self, _machine: usize, _note: N::Observation) {}
+    /// A process has shown something.
+    fn observed(&mut self, _machine: usize, _observation: N::Observation) {}
     /// After every step.
     fn after_step(&mut self, _machine: usize, _node: &N) {}
 }
@@ -78,22 +114,26 @@
 /// How a disk does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
+    /// It works.
     None,
     /// Thirty times its usual time.
     Slow,
     /// Nothing completes until it is over.
     Hung,
+    /// It refuses writes.
     Full,
 }
 
 /// The network's manners, for all links.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkProfile {
+    /// The delay of each message.
     pub delay: Micros,
     /// Up to so much is added to the delay of each message, so that they overtake one another.
     pub jitter: Micros,
     /// Of a thousand messages, so many are lost, and so many come twice.
     pub lost: u32,
+    /// Of a thousand messages, so many come twice.
     pub doubled: u32,
 }
 
@@ -107,14 +147,14 @@
     };
 }
 
-const SYNC: Micros = 2 * MILLI;
+const SYNC_TIME: Micros = 2 * MILLI;
 const SLOW_FACTOR: Micros = 30;
 /// Times of day on two machines differ by less than this.
-const DAYS_DIFFER: Micros = 900 * MILLI;
+const MAX_CLOCK_DIFFERENCE: Micros = 900 * MILLI;
 /// The time of day when a world begins.
-const BEGINNING: Micros = 1_790_000_000_000_000;
+const FIRST_TIME_OF_DAY: Micros = 1_790_000_000_000_000;
 /// Timers fire up to so much late.
-const LATE: Micros = 2 * MILLI;
+const MAX_TIMER_DELAY: Micros = 2 * MILLI;
 
 struct Machine<N: Process> {
     boot: BootOptions,
@@ -137,7 +177,7 @@
     clock: (Micros, u64),
 }
 
-enum Happening<N: Process> {
+enum SimulatedEvent<N: Process> {
     Deliver {
         from: usize,
         to: usize,
@@ -156,8 +196,9 @@
     now: Micros,
     rng: ChaCha8Rng,
     machines: Vec<Machine<N>>,
-    ahead: BTreeMap<(Micros, u64), Happening<N>>,
+    schedule: BTreeMap<(Micros, u64), SimulatedEvent<N>>,
     order: u64,
+    /// The network.
     pub net: NetworkProfile,
     /// Bytes that a machine can send in a second, to all others together; None: any number.
     pub rate: Option<u64>,
@@ -167,6 +208,7 @@
     steps: u64,
     /// What all machines are told.
     pub tolerated_failures: usize,
+    /// How long after its return a machine still counts as lost.
     pub recovery_interval: Micros,
 }
 
@@ -179,12 +221,13 @@
 }
 
 impl<N: Process> Simulator<N> {
+    /// Creates a world without machines.
     pub fn new(seed: u64, net: NetworkProfile) -> Simulator<N> {
         Simulator {
             now: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             machines: Vec::new(),
-            ahead: BTreeMap::new(),
+            schedule: BTreeMap::new(),
             order: 0,
             net,
             rate: None,
@@ -206,7 +249,7 @@
             seeds,
             first_run,
             seed: 0,
-            day: 0,
+            time_of_day: 0,
             tolerated_failures,
             recovery_interval,
         };
@@ -232,10 +275,12 @@
         self.machines.len() - 1
     }
 
+    /// Returns the time of the world.
     pub fn now(&self) -> Micros {
         self.now
     }
 
+    /// Returns the number of machines.
     pub fn machines(&self) -> usize {
         self.machines.len()
     }
@@ -255,29 +300,32 @@
         self.machines[machine].node.as_ref()
     }
 
+    /// Whether a process is frozen.
     pub fn is_frozen(&self, machine: usize) -> bool {
         self.machines[machine].inbox.is_some()
     }
 
+    /// Returns a machine's disk.
     pub fn disk(&self, machine: usize) -> &N::Disk {
         &self.machines[machine].disk
     }
 
+    /// Returns what a process is told at its next start.
     pub fn boot(&self, machine: usize) -> &BootOptions {
         &self.machines[machine].boot
     }
 
     /// Messages that may still reach somebody.
-    pub fn under_way(&self) -> impl Iterator<Item = &N::Message> {
-        let flying = self.ahead.values().filter_map(|what| match what {
-            Happening::Deliver { message, .. } => Some(message),
+    pub fn in_flight(&self) -> impl Iterator<Item = &N::Message> {
+        let travelling = self.schedule.values().filter_map(|what| match what {
+            SimulatedEvent::Deliver { message, .. } => Some(message),
             _ => None,
         });
         let waiting = self
             .machines
             .iter()
             .flat_map(|machine| machine.inbox.iter().flatten());
-        flying.chain(waiting.filter_map(|input| match input {
+        travelling.chain(waiting.filter_map(|input| match input {
             Input::Message(message) => Some(message),
             _ => None,
         }))
@@ -294,15 +342,15 @@
         start + self.now + (u128::from(self.now) * u128::from(fast) / 1_000_000) as u64
     }
 
-    /// What the machine shows as the time of day, microseconds since 1970: true to half of [`DAYS_DIFFER`].
-    pub fn day(&self, machine: usize) -> Micros {
+    /// What the machine shows as the time of day, microseconds since 1970: true to half of [`MAX_CLOCK_DIFFERENCE`].
+    pub fn time_of_day(&self, machine: usize) -> Micros {
         let (start, _) = self.machines[machine].clock;
-        BEGINNING + start % DAYS_DIFFER + self.now
+        FIRST_TIME_OF_DAY + start % MAX_CLOCK_DIFFERENCE + self.now
     }
 
-    fn plan(&mut self, at: Micros, what: Happening<N>) {
+    fn schedule_at(&mut self, at: Micros, what: SimulatedEvent<N>) {
         self.order += 1;
-        self.ahead.insert((at.max(self.now), self.order), what);
+        self.schedule.insert((at.max(self.now), self.order), what);
     }
 
     /// Starts the process if it does not run.
@@ -312,13 +360,13 @@
         }
         let now = self.clock(machine);
         let seed = self.rng.gen();
-        let day = self.day(machine);
+        let time_of_day = self.time_of_day(machine);
         let this = &mut self.machines[machine];
         this.starts += 1;
-        (this.boot.seed, this.boot.day) = (seed, day);
+        (this.boot.seed, this.boot.time_of_day) = (seed, time_of_day);
         let (node, effects) = N::start(&this.boot, now, &this.disk);
         this.node = Some(node);
-        self.carry_out(machine, effects, observer);
+        self.perform(machine, effects, observer);
     }
 
     /// From the next start of each on, so many may be lost at once.
@@ -355,6 +403,7 @@
         self.machines[machine].disk = N::Disk::default();
     }
 
+    /// Freezes a process: what comes waits until it goes on.
     pub fn freeze(&mut self, machine: usize) {
         let this = &mut self.machines[machine];
         if this.node.is_some() {
@@ -362,13 +411,15 @@
         }
     }
 
+    /// Lets a frozen process go on.
     pub fn thaw(&mut self, machine: usize, observer: &mut impl Observer<N>) {
         let inputs = self.machines[machine].inbox.take().unwrap_or_default();
         for input in inputs.into_iter().chain([Input::Tick]) {
-            self.give(machine, input, observer);
+            self.deliver(machine, input, observer);
         }
     }
 
+    /// Adds up to so much to the delay of all messages from and to a machine.
     pub fn set_lag(&mut self, machine: usize, lag: Micros) {
         self.machines[machine].lag = lag;
     }
@@ -378,29 +429,31 @@
         self.cuts.insert((from, to));
     }
 
+    /// Repairs what [`Simulator::cut`] has cut.
     pub fn join(&mut self, from: usize, to: usize) {
         self.cuts.remove(&(from, to));
     }
 
+    /// Breaks or repairs a machine's disk.
     pub fn set_disk_fault(&mut self, machine: usize, disk_fault: DiskFault) {
         self.machines[machine].disk_fault = disk_fault;
         // What hung goes on; what is under way otherwise ends as it was begun.
         if let Some((serial, _)) = self.machines[machine].writing {
-            self.plan_disk(machine, serial);
+            self.schedule_disk(machine, serial);
         }
     }
 
-    fn plan_disk(&mut self, machine: usize, serial: u64) {
+    fn schedule_disk(&mut self, machine: usize, serial: u64) {
         let takes = match self.machines[machine].disk_fault {
-            DiskFault::None | DiskFault::Full => SYNC,
-            DiskFault::Slow => SYNC * SLOW_FACTOR,
+            DiskFault::None | DiskFault::Full => SYNC_TIME,
+            DiskFault::Slow => SYNC_TIME * SLOW_FACTOR,
             DiskFault::Hung => return,
         };
         let at = self.now + self.rng.gen_range(takes / 2..=takes);
         let starts = self.machines[machine].starts;
-        self.plan(
+        self.schedule_at(
             at,
-            Happening::DiskDone {
+            SimulatedEvent::DiskDone {
                 machine,
                 starts,
                 serial,
@@ -410,12 +463,12 @@
 
     /// Somebody on the machine calls its process; nothing happens if it does not run.
     pub fn call(&mut self, machine: usize, call: N::Call, observer: &mut impl Observer<N>) {
-        self.give(machine, Input::Call(call), observer);
+        self.deliver(machine, Input::Call(call), observer);
     }
 
     /// When something happens next.
     pub fn next_at(&self) -> Option<Micros> {
-        self.ahead.first_key_value().map(|((at, _), _)| *at)
+        self.schedule.first_key_value().map(|((at, _), _)| *at)
     }
 
     /// Time passes, with nothing happening.
@@ -429,23 +482,23 @@
 
     /// The next thing happens.
     pub fn step(&mut self, observer: &mut impl Observer<N>) {
-        let Some(((at, _), what)) = self.ahead.pop_first() else {
+        let Some(((at, _), what)) = self.schedule.pop_first() else {
             return;
         };
         self.now = at;
         match what {
-            Happening::Deliver { from, to, message } => {
+            SimulatedEvent::Deliver { from, to, message } => {
                 if !self.cuts.contains(&(from, to)) {
-                    self.give(to, Input::Message(message), observer);
+                    self.deliver(to, Input::Message(message), observer);
                 }
             }
-            Happening::Wake(machine) => {
+            SimulatedEvent::Wake(machine) => {
                 if self.machines[machine].wake_at == Some(at) {
                     self.machines[machine].wake_at = None;
-                    self.give(machine, Input::Tick, observer);
+                    self.deliver(machine, Input::Tick, observer);
                 }
             }
-            Happening::DiskDone {
+            SimulatedEvent::DiskDone {
                 machine,
                 starts,
                 serial,
@@ -473,10 +526,10 @@
             N::put(&mut this.disk, write);
             Input::Synced(serial)
         };
-        self.give(machine, input, observer);
+        self.deliver(machine, input, observer);
     }
 
-    fn give(&mut self, machine: usize, input: Input<N>, observer: &mut impl Observer<N>) {
+    fn deliver(&mut self, machine: usize, input: Input<N>, observer: &mut impl Observer<N>) {
         let now = self.clock(machine);
         let this = &mut self.machines[machine];
         let Some(node) = &mut this.node else { return };
@@ -485,10 +538,10 @@
             return;
         }
         let effects = node.step(now, input);
-        self.carry_out(machine, effects, observer);
+        self.perform(machine, effects, observer);
     }
 
-    fn carry_out(
+    fn perform(
         &mut self,
         machine: usize,
         effects: Vec<Effect<N>>,
@@ -504,18 +557,18 @@
                 Effect::Write { serial, write } => {
                     let before = self.machines[machine].writing.replace((serial, write));
                     assert!(before.is_none(), "machine {machine} writes twice at a time");
-                    self.plan_disk(machine, serial);
+                    self.schedule_disk(machine, serial);
                 }
-                Effect::Observation(note) => observer.observed(machine, note),
+                Effect::Observation(observation) => observer.observed(machine, observation),
             }
         }
         if let Some(node) = &self.machines[machine].node {
             observer.after_step(machine, node);
         }
-        self.plan_wake(machine);
+        self.schedule_wake(machine);
     }
 
-    fn plan_wake(&mut self, machine: usize) {
+    fn schedule_wake(&mut self, machine: usize) {
         let due = self.machines[machine].node.as_ref().and_then(N::next_wake);
         let clock = self.clock(machine);
         // A due time that stays in the past would keep a real process busy.
@@ -526,10 +579,12 @@
             this.overdue < 3,
             "machine {machine} wants to be woken again and again"
         );
-        let at = due.map(|due| self.now + due.saturating_sub(clock) + self.rng.gen_range(1..LATE));
+        let at = due.map(|due| {
+            self.now + due.saturating_sub(clock) + self.rng.gen_range(1..MAX_TIMER_DELAY)
+        });
         self.machines[machine].wake_at = at;
         if let Some(at) = at {
-            self.plan(at, Happening::Wake(machine));
+            self.schedule_at(at, SimulatedEvent::Wake(machine));
         }
     }
 
@@ -558,9 +613,9 @@
                 + self.net.delay
                 + self.rng.gen_range(0..=self.net.jitter)
                 + self.rng.gen_range(0..=lag);
-            self.plan(
+            self.schedule_at(
                 self.now + delay,
-                Happening::Deliver {
+                SimulatedEvent::Deliver {
                     from,
                     to,
                     message: message.clone(),
--- a/tools/raft-simulation/tests/directed.rs
+++ b/tools/raft-simulation/tests/directed.rs
@@ -137,7 +137,7 @@
     acknowledge(&mut cluster);
     cluster.run_for(5 * SECOND);
     assert_ne!(cluster.leader(), Some(old));
-    assert!(cluster.node(old).unwrap().core().is_disk_degraded());
+    assert!(cluster.node(old).unwrap().raft().is_disk_degraded());
     cluster.simulator.set_disk_fault(old, DiskFault::None);
     recovers(&mut cluster, 2 * SECOND);
 }
@@ -255,10 +255,10 @@
     cluster.run_for(SECOND);
     cluster.add();
     cluster.run_for(SECOND);
-    assert_eq!(cluster.node(0).unwrap().core().voters().len(), 3);
+    assert_eq!(cluster.node(0).unwrap().raft().voters().len(), 3);
     cluster.add();
     recovers(&mut cluster, SECOND);
-    assert_eq!(cluster.node(0).unwrap().core().voters().len(), 5);
+    assert_eq!(cluster.node(0).unwrap().raft().voters().len(), 5);
 }
 
 /// Guards against a leader that was frozen and goes on as if no time had passed.
@@ -275,7 +275,7 @@
     cluster.thaw(old);
     cluster.run_for(2 * SECOND);
     assert_eq!((cluster.leader(), cluster.terms()), (Some(new), terms));
-    assert_eq!(cluster.node(old).unwrap().core().role(), Role::Follower);
+    assert_eq!(cluster.node(old).unwrap().raft().role(), Role::Follower);
     assert!(!is_committed(&cluster, proposal) && !is_committed(&cluster, read));
 }
 
@@ -283,7 +283,7 @@
     cluster
         .node(cluster.leader().unwrap())
         .unwrap()
-        .core()
+        .raft()
         .voters()
         .to_vec()
 }
@@ -296,11 +296,11 @@
     cluster.run_for(4 * SECOND);
     let leader = cluster.leader().unwrap();
     let is_voter =
-        |machine: &usize| voters(&cluster).contains(&cluster.node(*machine).unwrap().core().id());
+        |machine: &usize| voters(&cluster).contains(&cluster.node(*machine).unwrap().raft().id());
     let gone = (0..3)
         .find(|machine| *machine != leader && is_voter(machine))
         .unwrap();
-    let node_id = cluster.node(gone).unwrap().core().id();
+    let node_id = cluster.node(gone).unwrap().raft().id();
     cluster.simulator.kill(gone);
     if !one_waits {
         cluster.run_for(300 * MILLI);
@@ -360,7 +360,7 @@
 fn a_leader_that_gives_way_is_replaced_at_once() {
     let mut cluster = grown(3, 14);
     let old = cluster.leader().unwrap();
-    cluster.give_way(old);
+    cluster.step_down(old);
     next_leader(&mut cluster, old, 30 * MILLI);
 }
 
--- a/tools/raft-simulation/tests/long_run.rs
+++ b/tools/raft-simulation/tests/long_run.rs
@@ -42,5 +42,5 @@
     })
     .run();
     assert!(run.acknowledged >= 6, "{run:?}");
-    assert!(run.most_on_disk < 200 << 20, "{run:?}");
+    assert!(run.max_disk_bytes < 200 << 20, "{run:?}");
 }
--- a/tools/raft-simulation/tests/replaced.rs
+++ b/tools/raft-simulation/tests/replaced.rs
@@ -78,7 +78,7 @@
         cluster
             .node(cluster.leader().unwrap())
             .unwrap()
-            .core()
+            .raft()
             .voters()
             .to_vec()
     };
@@ -108,12 +108,12 @@
 ) {
     let mut cluster = grown(machines, 300 + seed);
     let old = (cluster.leader().unwrap() + seed as usize) % machines;
-    let node_id = cluster.node(old).unwrap().core().id();
+    let node_id = cluster.node(old).unwrap().raft().id();
     let new = cluster.add_with(vec![address(old)]);
     cluster.run_for(SECOND);
     cluster.leave(old);
     let leader = cluster.leader().expect("one leads all the while");
-    let voters = cluster.node(leader).unwrap().core().voters();
+    let voters = cluster.node(leader).unwrap().raft().voters();
     assert!(!voters.contains(&node_id), "{}", cluster.report());
-    assert!(voters.contains(&cluster.node(new).unwrap().core().id()));
+    assert!(voters.contains(&cluster.node(new).unwrap().raft().id()));
 }
