--- a/crates/control-plane/src/deduplication.rs
+++ b/crates/control-plane/src/deduplication.rs
@@ -1,9 +1,5 @@
-//! Whether what an operator sends is the same thing again: configurations by their digest, rollout orders by their content and
-//! time.
-//!
-//! A configuration is compared by its bytes, not by its meaning: what is read back is then exactly what was acknowledged,
-//! fields that this release doesn't know count, and two releases never differ on whether two documents are the same. Callers
-//! send a document whose answer was unclear again unchanged.
+//! Whether a rollout order is one that was accepted before, by its content and its time. Configurations are told apart by their
+//! [`Digest`](crate::digest::Digest).
 //!
 //! An order has no identifier. Sent again within `receipt` (of the settings) it is the same one, whatever has become of it;
 //! after that it is a new one. Machines have different clocks, so the replicated state never asks how late it is: the leader
@@ -12,33 +8,7 @@
 
 use crate::state_machine::{AcceptedOrder, Command, ControlState};
 use crate::Micros;
-use serde::{Deserialize, Serialize};
-use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
-use std::fmt;
-
-/// SHA-256 of a configuration, displayed as `sha256sum` does.
-#[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Digest(pub [u8; 32]);
-
-impl Digest {
-    /// Computes the digest of a text.
-    pub fn of(text: &str) -> Digest {
-        Digest(Sha256::digest(text.as_bytes()).into())
-    }
-}
-
-impl fmt::Display for Digest {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
-    }
-}
-
-impl fmt::Debug for Digest {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{self}")
-    }
-}
 
 /// The last copy of an order is sent when `receipt` is over, and may take so long to arrive: a connection, a redirect or two.
 pub const MAX_DELIVERY_DELAY: Micros = 1_500_000;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -4,6 +4,7 @@
 //! | --- | --- |
 //! | [`codec`] | format numbers of what is stored and sent |
 //! | [`delta`] | a text as its difference from another one; compression |
+//! | [`digest`] | whether two configurations are the same |
 //! | [`deduplication`] | whether an operator's order is the same one again |
 //! | [`state_machine`] | the replicated state, and the commands that change it |
 //! | [`messages`] | what proxies and controllers say to each other |
@@ -22,6 +23,7 @@
 pub mod controller_client;
 pub mod deduplication;
 pub mod delta;
+pub mod digest;
 pub mod messages;
 pub mod proxy_registry;
 pub mod state_machine;
--- a/crates/control-plane/src/state_machine.rs
+++ b/crates/control-plane/src/state_machine.rs
@@ -5,7 +5,7 @@
 //! is what applying the command did ([`Effect`]), never that it was committed.
 
 use crate::codec::{self, DecodeError, Encoded};
-use crate::deduplication::Digest;
+use crate::digest::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/control-plane/tests/deduplication.rs
+++ b/crates/control-plane/tests/deduplication.rs
@@ -1,8 +1,9 @@
 //! Whether an order is the same one again, for leaders whose clocks differ and that restart.
 
 use magpieline_control_plane::deduplication::{
-    AcceptanceClock, Arrival, Digest, OrderContent, MAX_CLOCK_SKEW, MAX_DELIVERY_DELAY,
+    AcceptanceClock, Arrival, OrderContent, MAX_CLOCK_SKEW, MAX_DELIVERY_DELAY,
 };
+use magpieline_control_plane::digest::Digest;
 use magpieline_control_plane::state_machine::{Command, ControlState, Effect, Phase};
 use magpieline_control_plane::Micros;
 use rstest::rstest;
--- a/crates/control-plane/tests/state_machine.rs
+++ b/crates/control-plane/tests/state_machine.rs
@@ -1,7 +1,7 @@
 //! What the sorting machines agree on, command by command: one document under a number, one order once, steps of a
 //! rollout only where they may follow.
 
-use magpieline_control_plane::deduplication::Digest;
+use magpieline_control_plane::digest::Digest;
 use magpieline_control_plane::state_machine::{
     Command, ControlState, Effect, Phase, Rollout, StoredConfig, MAX_REMEMBERED_CONFIGS,
     MAX_REMEMBERED_ORDERS,
--- a/crates/gateway/src/commands/store.rs
+++ b/crates/gateway/src/commands/store.rs
@@ -6,7 +6,7 @@
 use jzon::JsonValue as Json;
 use magpieline_config::durations;
 use magpieline_control_plane::state_machine::{Command, ControlState};
-use magpieline_raft::{Entry, NodeId, Payload, PersistentState};
+use magpieline_raft::{Entry, HardState, NodeId, Payload, PersistentState, Snapshot};
 use magpieline_raft_store::{inspect, is_in_use, Inspection, StoreError};
 use std::path::Path;
 use std::time::Duration;
@@ -146,7 +146,7 @@
     }
 }
 
-/// What a place in the log is, once its pieces are put together.
+/// An entry of the log, with the command that ends in it.
 struct LogEntry {
     index: u64,
     term: u64,
@@ -155,13 +155,13 @@
     command: Option<Command>,
 }
 
-/// The log's places in order. A command in pieces stands at its last one, as it is applied there.
-fn decode_entries(entries: &[Entry]) -> Vec<LogEntry> {
-    let (mut pieces, mut term) = (Vec::new(), 0);
+/// Decodes the log. A command in chunks belongs to its last entry, as it is applied there.
+fn decode_entries(stored: &[Entry]) -> Vec<LogEntry> {
+    let (mut chunks, mut term) = (Vec::new(), 0);
     let mut list = Vec::new();
-    for entry in entries {
+    for entry in stored {
         if entry.term != term {
-            pieces.clear(); // another leader's: what was begun before means nothing
+            chunks.clear(); // another leader's: what was begun before means nothing
         }
         term = entry.term;
         let mut command = None;
@@ -170,12 +170,12 @@
             Payload::Voters(members) => ("members", node_ids(&members.voters)),
             Payload::LeaveJoint => ("joint-end", "the list before counts no more".into()),
             Payload::Command { more: true, bytes } => {
-                pieces.extend_from_slice(bytes);
+                chunks.extend_from_slice(bytes);
                 ("piece", format!("{} bytes", bytes.len()))
             }
             Payload::Command { more: false, bytes } => {
-                pieces.extend_from_slice(bytes);
-                command = Command::decode(&std::mem::take(&mut pieces)).ok();
+                chunks.extend_from_slice(bytes);
+                command = Command::decode(&std::mem::take(&mut chunks)).ok();
                 command.as_ref().map_or(
                     ("unreadable", format!("{} bytes", bytes.len())),
                     describe_command,
@@ -183,7 +183,7 @@
             }
         };
         if !matches!(entry.payload, Payload::Command { .. }) {
-            pieces.clear();
+            chunks.clear();
         }
         list.push(LogEntry {
             index: entry.index,
@@ -196,6 +196,13 @@
     list
 }
 
+fn describe_snapshot(snapshot: &Snapshot) -> String {
+    let is_readable = ControlState::decode(&snapshot.state).is_ok();
+    let note = if is_readable { "" } else { ", unreadable" };
+    let (index, term, bytes) = (snapshot.index, snapshot.term, snapshot.state.len());
+    format!("up to entry {index} of term {term}, {bytes} bytes{note}")
+}
+
 fn node_ids(ids: &[NodeId]) -> String {
     let shown: Vec<String> = ids
         .iter()
@@ -205,7 +212,7 @@
 }
 
 /// What was agreed on, carried out again: from the snapshot, through the log up to `to`.
-fn replay(stored: &PersistentState, places: &[LogEntry], to: u64) -> ControlState {
+fn replay(stored: &PersistentState, entries: &[LogEntry], to: u64) -> ControlState {
     let (mut state, mut at) = (ControlState::default(), 0);
     if let Some(snapshot) = &stored.snapshot {
         (state, at) = (
@@ -213,7 +220,7 @@
             snapshot.index,
         );
     }
-    for place in places.iter().filter(|p| p.index > at && p.index <= to) {
+    for place in entries.iter().filter(|p| p.index > at && p.index <= to) {
         if let Some(command) = &place.command {
             state.apply(place.index, command);
         }
@@ -225,7 +232,7 @@
 struct StoreReport<'a> {
     found: &'a Inspection,
     in_use: bool,
-    places: Vec<LogEntry>,
+    entries: Vec<LogEntry>,
     /// Up to here all is in force for certain, as far as this store knows.
     certain: u64,
     last: u64,
@@ -237,20 +244,20 @@
 impl StoreReport<'_> {
     fn of(found: &Inspection, in_use: bool) -> StoreReport<'_> {
         let stored = &found.stored;
-        let places = decode_entries(&stored.entries);
+        let entries = decode_entries(&stored.entries);
         let covered = stored.snapshot.as_ref().map_or(0, |s| s.index);
-        let last = places.last().map_or(covered, |p| p.index);
+        let last = entries.last().map_or(covered, |p| p.index);
         let certain = stored
             .hard_state
             .map_or(0, |h| h.commit)
             .max(covered)
             .min(last);
-        let committed = replay(stored, &places, certain);
-        let uncommitted = Some(replay(stored, &places, last)).filter(|all| *all != committed);
+        let committed = replay(stored, &entries, certain);
+        let uncommitted = Some(replay(stored, &entries, last)).filter(|all| *all != committed);
         StoreReport {
             found,
             in_use,
-            places,
+            entries,
             certain,
             last,
             committed,
@@ -265,7 +272,7 @@
     /// How many entries there are of each kind, the frequent ones first.
     fn kinds(&self) -> Vec<(&'static str, usize)> {
         let mut kinds: Vec<(&'static str, usize)> = Vec::new();
-        for place in &self.places {
+        for place in &self.entries {
             match kinds.iter_mut().find(|(kind, _)| *kind == place.kind) {
                 Some((_, count)) => *count += 1,
                 None => kinds.push((place.kind, 1)),
@@ -275,7 +282,7 @@
         kinds
     }
 
-    fn to_text(&self, dir: &str, entries: bool) -> String {
+    fn to_text(&self, dir: &str, with_entries: bool) -> String {
         let stored = &self.found.stored;
         let mut text = format!(
             "{dir}: {} bytes{}\n",
@@ -286,44 +293,7 @@
             text.push_str("  empty: this machine has never taken part\n");
             return text;
         };
-        let log = match (self.places.first(), self.places.last()) {
-            (Some(first), Some(last)) => format!("entries {} to {}", first.index, last.index),
-            _ => "no entries".into(),
-        };
-        let kinds: Vec<String> = self
-            .kinds()
-            .iter()
-            .map(|(kind, count)| format!("{count} {kind}"))
-            .collect();
-        let snapshot = stored.snapshot.as_ref().map_or("none".into(), |s| {
-            let whole = if ControlState::decode(&s.state).is_ok() {
-                ""
-            } else {
-                ", unreadable"
-            };
-            format!(
-                "up to entry {} of term {}, {} bytes{whole}",
-                s.index,
-                s.term,
-                s.state.len()
-            )
-        });
-        text.push_str(&pairs(
-            &[
-                ("term", hard.term.to_string()),
-                ("vote", hard.vote.map_or("none".into(), |v| node_ids(&[v]))),
-                ("life", hard.incarnation.to_string()),
-                ("voters", node_ids(&self.voters())),
-                ("log", log),
-                ("entries", join(&kinds)),
-                ("snapshot", snapshot),
-                (
-                    "certain",
-                    format!("up to entry {} of {}", self.certain, self.last),
-                ),
-            ],
-            "  ",
-        ));
+        text.push_str(&pairs(&self.summary(&hard), "  "));
         text.push_str(&format!(
             "in force, up to entry {}\n{}",
             self.certain,
@@ -336,23 +306,63 @@
                 state_text(uncommitted)
             ));
         }
-        if entries {
-            let mut rows = vec![["entry", "term", "kind", "about"]
-                .map(str::to_owned)
-                .to_vec()];
-            rows.extend(self.places.iter().map(|p| {
-                vec![
-                    p.index.to_string(),
-                    p.term.to_string(),
-                    p.kind.to_owned(),
-                    p.about.clone(),
-                ]
-            }));
-            text.push_str(&columns(&rows, "  "));
+        if with_entries {
+            text.push_str(&self.entry_table());
         }
         text
     }
 
+    /// Returns names and values of what the store holds beside the state.
+    fn summary(&self, hard_state: &HardState) -> [(&'static str, String); 8] {
+        let log = match (self.entries.first(), self.entries.last()) {
+            (Some(first), Some(last)) => format!("entries {} to {}", first.index, last.index),
+            _ => "no entries".into(),
+        };
+        let kinds = self.kinds();
+        let kinds: Vec<String> = kinds
+            .iter()
+            .map(|(kind, count)| format!("{count} {kind}"))
+            .collect();
+        let snapshot = self.found.stored.snapshot.as_ref();
+        let vote = hard_state.vote;
+        [
+            ("term", hard_state.term.to_string()),
+            ("vote", vote.map_or("none".into(), |vote| node_ids(&[vote]))),
+            ("life", hard_state.incarnation.to_string()),
+            ("voters", node_ids(&self.voters())),
+            ("log", log),
+            ("entries", join(&kinds)),
+            (
+                "snapshot",
+                snapshot.map_or("none".into(), |snapshot| describe_snapshot(snapshot)),
+            ),
+            (
+                "certain",
+                format!("up to entry {} of {}", self.certain, self.last),
+            ),
+        ]
+    }
+
+    /// Formats the log's entries as a table.
+    fn entry_table(&self) -> String {
+        let header = ["entry", "term", "kind", "about"]
+            .map(str::to_owned)
+            .to_vec();
+        let row = |place: &LogEntry| {
+            vec![
+                place.index.to_string(),
+                place.term.to_string(),
+                place.kind.to_owned(),
+                place.about.clone(),
+            ]
+        };
+        let rows: Vec<Vec<String>> = [header]
+            .into_iter()
+            .chain(self.entries.iter().map(row))
+            .collect();
+        columns(&rows, "  ")
+    }
+
     /// Who votes by the newest list stored.
     fn voters(&self) -> Vec<NodeId> {
         let stored = &self.found.stored;
@@ -365,7 +375,7 @@
             .unwrap_or_default()
     }
 
-    fn to_json(&self, dir: &str, entries: bool) -> Json {
+    fn to_json(&self, dir: &str, with_entries: bool) -> Json {
         let stored = &self.found.stored;
         let mut kinds = Json::new_object();
         self.kinds()
@@ -378,16 +388,16 @@
             term: stored.hard_state.map(|h| h.term), life: stored.hard_state.map(|h| h.incarnation),
             vote: stored.hard_state.and_then(|h| h.vote).map_or(Json::Null, |v| node_id(&v)),
             voters: self.voters().iter().map(node_id).collect::<Vec<_>>(),
-            log: jzon::object! { first: self.places.first().map(|p| p.index),
-                last: self.places.last().map(|p| p.index), certain: self.certain, kinds: kinds },
+            log: jzon::object! { first: self.entries.first().map(|p| p.index),
+                last: self.entries.last().map(|p| p.index), certain: self.certain, kinds: kinds },
             snapshot: stored.snapshot.as_ref().map_or(Json::Null, |s| jzon::object! {
                 index: s.index, term: s.term, bytes: s.state.len(), readable: ControlState::decode(&s.state).is_ok() }),
             in_force: state_json(&self.committed),
             with_what_follows: self.uncommitted.as_ref().map(state_json)
         };
-        if entries {
+        if with_entries {
             let list: Vec<Json> = self
-                .places
+                .entries
                 .iter()
                 .map(
                     |p| jzon::object! { index: p.index, term: p.term, kind: p.kind, about: p.about.as_str() },
--- a/crates/gateway/src/proxy/forwarding.rs
+++ b/crates/gateway/src/proxy/forwarding.rs
@@ -1,7 +1,6 @@
 //! Forwards a request to endpoints of its service, again where that is allowed, until its response is known.
 
 use super::attempt::{self, Attempt, AttemptResult};
-use super::request_handler::ResolvedRoute;
 use super::responses::{self, ProxyResponse};
 use super::state::{is_serving_version, ProxyState};
 use super::upstream_request::UpstreamRequest;
@@ -26,6 +25,12 @@
 /// What a retry takes of the retry budget.
 const RETRY_COST: f64 = 1.0;
 
+/// The route of a request, and the configuration that gives it.
+pub(super) struct ResolvedRoute {
+    pub(super) config: Arc<GatewayConfig>,
+    pub(super) route: Arc<Route>,
+}
+
 /// Why a request is sent to no endpoint.
 #[derive(Clone, Copy, Debug)]
 enum NotSent {
--- a/crates/gateway/src/proxy/request_handler.rs
+++ b/crates/gateway/src/proxy/request_handler.rs
@@ -2,6 +2,7 @@
 
 use super::client_connection::{ClientConnection, EarlyResponse};
 use super::connector::Stream;
+use super::forwarding::ResolvedRoute;
 use super::responses::{self, ProxyResponse};
 use super::upstream_request::{UpstreamRequest, TIME_LEFT};
 use super::{forwarding, Proxy};
@@ -12,8 +13,7 @@
 use hyper::header::{HeaderName, HeaderValue, CONTENT_LENGTH, HOST};
 use hyper::http::request::Parts;
 use hyper::{Request, StatusCode};
-use magpieline_config::gateway_config::GatewayConfig;
-use magpieline_config::route_table::{Idempotency, Route};
+use magpieline_config::route_table::Idempotency;
 use magpieline_http1::attempt_outcome::NextStep;
 use magpieline_http1::framing::request_framing::EarlyRequest;
 use magpieline_http1::framing::{head, FramingError};
@@ -29,12 +29,6 @@
 /// Headers that a request usually has.
 const COMMON_HEADERS: usize = 12;
 
-/// The route of a request, and the configuration that gives it.
-pub(super) struct ResolvedRoute {
-    pub(super) config: Arc<GatewayConfig>,
-    pub(super) route: Arc<Route>,
-}
-
 /// Counts a request while it is in progress, however it ends.
 struct InProgress<'a>(&'a Proxy);
 
--- a/crates/gateway/tests/commands.rs
+++ b/crates/gateway/tests/commands.rs
@@ -1,10 +1,12 @@
 //! The command line as operators meet it: what is printed where, and with which code it ends. Runs the program; nothing
 //! listens anywhere but on loopback.
 
+mod common;
+
+use common::TempDir;
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
-use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
 
 const SETTINGS: &str = r#"
@@ -49,30 +51,11 @@
     (status.code().unwrap_or(-1), text(stdout), text(stderr))
 }
 
-/// A folder of its own for each test, removed at its end.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!(
-            "magpieline-gateway-commands-{name}-{}",
-            std::process::id()
-        ));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
-    }
-
-    fn file(&self, name: &str, text: &str) -> String {
-        let path = self.0.join(name);
-        std::fs::write(&path, text).expect("written");
-        path.display().to_string()
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
+/// Writes a file into a directory. Returns its path.
+fn write_file(dir: &TempDir, name: &str, text: &str) -> String {
+    let path = dir.path().join(name);
+    std::fs::write(&path, text).expect("written");
+    path.display().to_string()
 }
 
 /// Guards against wrong use that looks like a failure, or is answered by silence: scripts tell them apart by the code.
@@ -127,8 +110,11 @@
 /// Guards against a file that is taken for the other kind, and against sound files that are not shown for what they are.
 #[test]
 fn check_tells_the_two_kinds_apart_and_sums_them_up() {
-    let folder = Folder::new("sound");
-    let (settings, configuration) = (folder.file("a", SETTINGS), folder.file("b", CONFIGURATION));
+    let folder = TempDir::new("commands-sound");
+    let (settings, configuration) = (
+        write_file(&folder, "a", SETTINGS),
+        write_file(&folder, "b", CONFIGURATION),
+    );
     let (code, out, err) = gateway(&["check", "--routes", &settings, &configuration], "");
     assert_eq!((code, &*err), (0, ""));
     let lines: Vec<&str> = out.lines().collect();
@@ -157,7 +143,7 @@
 /// Guards against an unsound file that passes, and against complaints that are kept back.
 #[test]
 fn check_tells_all_complaints_and_ends_with_1() {
-    let folder = Folder::new("unsound");
+    let folder = TempDir::new("commands-unsound");
     let route = |i: usize| {
         format!(
             r#"{{"name":"r-{i}","sort":"odd","sorting":{{"lane_prefix":"/{i}/"}},"dispatch":{{"service":"s","give_up":"1s"}}}}"#
@@ -169,8 +155,8 @@
         &format!("\"regulations\":[{},", routes.join(",")),
     );
     let (good, bad) = (
-        folder.file("good", CONFIGURATION),
-        folder.file("bad", &text),
+        write_file(&folder, "good", CONFIGURATION),
+        write_file(&folder, "bad", &text),
     );
     let (code, out, _) = gateway(&["check", &good, &bad], "");
     assert_eq!(
@@ -241,8 +227,8 @@
 /// force while another one is.
 #[test]
 fn send_follows_to_the_leader_and_reads_back() {
-    let folder = Folder::new("send");
-    let file = folder.file("c", CONFIGURATION);
+    let folder = TempDir::new("commands-send");
+    let file = write_file(&folder, "c", CONFIGURATION);
     let newer = CONFIGURATION.replace("\"edition\":7", "\"edition\":9");
     for (held, code, says) in [
         (CONFIGURATION, 0, "and is in force."),
--- a/crates/gateway/tests/kept_store.rs
+++ b/crates/gateway/tests/kept_store.rs
@@ -3,37 +3,19 @@
 //! byte are told by their length (parts: how many times, how many bytes, both in four bytes with the least significant
 //! first, then the bytes).
 
+mod common;
+
+use common::TempDir;
 use magpieline_control_plane::state_machine::{Command, ControlState, Phase, StoredConfig};
 use magpieline_raft::{
     Entry, HardState, NodeId, Payload, PersistentState, Snapshot, VoterSet, WriteBatch,
 };
 use magpieline_raft_store::{inspect, Store};
-use std::path::PathBuf;
 use std::sync::Arc;
 
 const FORMAT_1: &[u8] = include_bytes!("stores/format-1.packed");
 const FORMAT_2: &[u8] = include_bytes!("stores/format-2.packed");
 
-/// A folder of its own for each test, removed at its end.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!(
-            "magpieline-gateway-kept-{name}-{}",
-            std::process::id()
-        ));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
-
 fn node_id(last: u8, incarnation: u64) -> NodeId {
     NodeId {
         address: std::net::SocketAddrV4::new([10, 1, 0, last].into(), 7720),
@@ -135,7 +117,7 @@
 #[test]
 #[ignore = "writes a store of this release for the releases after it"]
 fn write_one() {
-    let folder = Folder::new("write");
+    let folder = TempDir::new("kept-write");
     let covered = FIRST + COVERED as u64 - 1;
     let snapshot = Snapshot {
         index: covered,
@@ -167,7 +149,7 @@
             payload,
         })
         .collect();
-    let mut store = Store::open(&folder.0).expect("a store");
+    let mut store = Store::open(folder.path()).expect("a store");
     let batch = WriteBatch {
         hard_state: hard_state(),
         snapshot: Some(Arc::new(snapshot)),
@@ -177,7 +159,7 @@
     };
     store.write(&batch).expect("written");
     drop(store);
-    let bytes = std::fs::read(folder.0.join("store.redb")).expect("there");
+    let bytes = std::fs::read(folder.path().join("store.redb")).expect("there");
     let to = std::env::temp_dir().join("store.packed");
     std::fs::write(&to, packed(&bytes)).expect("written");
     println!("{} bytes as {}", bytes.len(), to.display());
@@ -223,8 +205,8 @@
 }
 
 /// Puts a store of an earlier release into a folder.
-fn put(folder: &Folder, packed: &[u8]) {
-    std::fs::write(folder.0.join("store.redb"), whole(packed)).expect("written");
+fn put(folder: &TempDir, packed: &[u8]) {
+    std::fs::write(folder.path().join("store.redb"), whole(packed)).expect("written");
 }
 
 fn check(stored: &PersistentState) {
@@ -273,10 +255,15 @@
 /// Guards against a release that can't read, or misreads, what the one before it left on disk.
 #[test]
 fn a_store_of_the_release_before_is_read_and_written_on() {
-    let folder = Folder::new("read");
+    let folder = TempDir::new("kept-read");
     put(&folder, FORMAT_1);
-    check(&inspect(&folder.0).expect("readable").expect("there").stored);
-    let mut store = Store::open(&folder.0).expect("opened");
+    check(
+        &inspect(folder.path())
+            .expect("readable")
+            .expect("there")
+            .stored,
+    );
+    let mut store = Store::open(folder.path()).expect("opened");
     let stored = store.load().expect("readable");
     check(&stored);
     // What this release adds goes beside it, and all is read again.
@@ -299,7 +286,7 @@
     };
     store.write(&batch).expect("written");
     drop(store);
-    let again = Store::open(&folder.0)
+    let again = Store::open(folder.path())
         .and_then(|mut store| store.load())
         .expect("readable");
     assert_eq!(again.hard_state, Some(hard_state));
@@ -368,7 +355,7 @@
 #[test]
 #[ignore = "writes a store of this release for the releases after it"]
 fn write_the_second_form() {
-    let folder = Folder::new("write-2");
+    let folder = TempDir::new("kept-write-2");
     let last = FIRST + commands_2().len() as u64 - 1;
     let snapshot = Snapshot {
         index: last,
@@ -376,7 +363,7 @@
         voters: voters(),
         state: state_2().encode(),
     };
-    let mut store = Store::open(&folder.0).expect("a store");
+    let mut store = Store::open(folder.path()).expect("a store");
     let (snapshot, entries) = (Some(Arc::new(snapshot)), entries_2(last));
     let batch = WriteBatch {
         hard_state: hard_2(last),
@@ -387,7 +374,7 @@
     };
     store.write(&batch).expect("written");
     drop(store);
-    let bytes = std::fs::read(folder.0.join("store.redb")).expect("there");
+    let bytes = std::fs::read(folder.path().join("store.redb")).expect("there");
     let to = std::env::temp_dir().join("store-2.packed");
     std::fs::write(&to, packed(&bytes)).expect("written");
     println!("{} bytes as {}", bytes.len(), to.display());
@@ -396,9 +383,9 @@
 /// Guards against names that change what is stored: every kind of entry and command, and the state with all its parts.
 #[test]
 fn a_store_of_the_second_form_is_read() {
-    let folder = Folder::new("read-2");
+    let folder = TempDir::new("kept-read-2");
     put(&folder, FORMAT_2);
-    let stored = Store::open(&folder.0)
+    let stored = Store::open(folder.path())
         .and_then(|mut store| store.load())
         .expect("readable");
     let last = FIRST + commands_2().len() as u64 - 1;
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,5 +1,8 @@
 //! Changes of the settings file while the program runs.
 
+mod common;
+
+use common::TempDir;
 use magpieline_config::node_settings::NodeSettings;
 use magpieline_gateway::settings::{Look, Watcher};
 use std::path::{Path, PathBuf};
@@ -22,28 +25,8 @@
 retry_slack = 58
 "#;
 
-/// A folder of its own for each test, removed at its end.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!(
-            "magpieline-gateway-settings-{name}-{}",
-            std::process::id()
-        ));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
-    }
-
-    fn file(&self) -> PathBuf {
-        self.0.join("node.toml")
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
+fn settings_file(dir: &TempDir) -> PathBuf {
+    dir.path().join("node.toml")
 }
 
 fn write(path: &Path, text: &str) {
@@ -54,9 +37,9 @@
 /// TOML and would put defaults in force.
 #[test]
 fn a_change_is_taken_once_it_is_whole() {
-    let folder = Folder::new("whole");
-    write(&folder.file(), TEXT);
-    let mut watcher = Watcher::open(folder.file()).expect("sound");
+    let folder = TempDir::new("settings-whole");
+    write(&settings_file(&folder), TEXT);
+    let mut watcher = Watcher::open(settings_file(&folder)).expect("sound");
     assert_eq!(watcher.look(), Look::Same);
     let changed = TEXT
         .replace("58", "20")
@@ -64,9 +47,9 @@
         .replace(".0.79", ".0.80");
     let cut = changed.split("[provisions").next().expect("a part");
     assert!(NodeSettings::parse(cut).is_ok());
-    write(&folder.file(), cut);
+    write(&settings_file(&folder), cut);
     assert_eq!(watcher.look(), Look::New);
-    write(&folder.file(), &changed);
+    write(&settings_file(&folder), &changed);
     assert_eq!(watcher.look(), Look::New);
     let Look::Accepted(settings, restarts) = watcher.look() else {
         panic!("not taken")
@@ -90,11 +73,11 @@
 /// Guards against a wrong or missing file that changes what is in force, or that fills the log.
 #[test]
 fn a_wrong_file_leaves_the_last_good_one_and_is_told_once() {
-    let folder = Folder::new("wrong");
-    write(&folder.file(), TEXT);
-    let mut watcher = Watcher::open(folder.file()).expect("sound");
+    let folder = TempDir::new("settings-wrong");
+    write(&settings_file(&folder), TEXT);
+    let mut watcher = Watcher::open(settings_file(&folder)).expect("sound");
     let good = watcher.settings().clone();
-    let path = folder.file();
+    let path = settings_file(&folder);
     let told = |look: Look| match look {
         Look::Rejected(wrong) => wrong.replace(&path.display().to_string(), "FILE"),
         other => panic!("{other:?}"),
@@ -117,11 +100,11 @@
 /// Guards against a change that half takes effect: an address that is listened at stays what it was.
 #[test]
 fn what_needs_a_restart_is_named_and_stays() {
-    let folder = Folder::new("restart");
-    write(&folder.file(), TEXT);
-    let mut watcher = Watcher::open(folder.file()).expect("sound");
+    let folder = TempDir::new("settings-restart");
+    write(&settings_file(&folder), TEXT);
+    let mut watcher = Watcher::open(settings_file(&folder)).expect("sound");
     write(
-        &folder.file(),
+        &settings_file(&folder),
         &TEXT
             .replace("8161", "9161")
             .replace("zone = \"a\"", "zone = \"b\""),
--- a/crates/gateway/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -1,9 +1,12 @@
 //! `magpieline-gateway store` on stores that the test has written.
 
+mod common;
+
+use common::TempDir;
 use magpieline_control_plane::state_machine::{Command, ControlState, Phase, StoredConfig};
 use magpieline_raft::{Entry, HardState, NodeId, Payload, Snapshot, VoterSet, WriteBatch};
 use magpieline_raft_store::Store;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::process::Command as Process;
 use std::sync::Arc;
 
@@ -22,26 +25,6 @@
     )
 }
 
-/// A folder of its own for each test, removed at its end.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!(
-            "magpieline-gateway-store-{name}-{}",
-            std::process::id()
-        ));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
-
 fn stored(number: u64) -> Command {
     Command::ReplaceConfig(StoredConfig {
         version: number,
@@ -130,10 +113,10 @@
 /// Guards against a store that is read wrong when it matters most: after the machine is gone.
 #[test]
 fn what_was_agreed_on_is_replayed_and_what_may_follow_is_told_apart() {
-    let folder = Folder::new("replay");
-    drop(fill(&folder.0));
-    let before = std::fs::read(folder.0.join("store.redb")).expect("there");
-    let (code, out, err) = store(&["--entries"], &folder.0);
+    let folder = TempDir::new("store-replay");
+    drop(fill(folder.path()));
+    let before = std::fs::read(folder.path().join("store.redb")).expect("there");
+    let (code, out, err) = store(&["--entries"], folder.path());
     assert_eq!((code, &*err), (0, ""));
     for line in [
         "  term      2",
@@ -148,7 +131,7 @@
     ] {
         assert!(out.lines().any(|l| l == line), "{line}\nis not in\n{out}");
     }
-    let (_, json, _) = store(&["--json"], &folder.0);
+    let (_, json, _) = store(&["--json"], folder.path());
     let shown = jzon::parse(&json).expect("JSON");
     let phase = |part: &str| {
         shown[part]["services"]["calendar"]["rollout"]["phase"]
@@ -169,9 +152,12 @@
         ),
         (Some(5), Some(false))
     );
-    assert_eq!(store(&["--configuration"], &folder.0).1, "{\"edition\":5}");
+    assert_eq!(
+        store(&["--configuration"], folder.path()).1,
+        "{\"edition\":5}"
+    );
     assert!(
-        before == std::fs::read(folder.0.join("store.redb")).expect("there"),
+        before == std::fs::read(folder.path().join("store.redb")).expect("there"),
         "it was written to"
     );
 }
@@ -179,14 +165,14 @@
 /// Guards against an operator who takes a store in use, a broken one or none at all for an empty one.
 #[test]
 fn a_store_in_use_a_corrupt_one_and_none_are_told_apart() {
-    let folder = Folder::new("told");
-    let (code, out, err) = store(&[], &folder.0);
+    let folder = TempDir::new("store-told");
+    let (code, out, err) = store(&[], folder.path());
     assert!(
         code == 1 && out.is_empty() && err.contains("found no store, expected a controller's"),
         "{err}"
     );
-    let held = fill(&folder.0);
-    let (code, out, _) = store(&[], &folder.0);
+    let held = fill(folder.path());
+    let (code, out, _) = store(&[], folder.path());
     assert!(
         code == 0
             && out
@@ -196,7 +182,7 @@
         "{out}"
     );
     drop(held);
-    let file = folder.0.join("store.redb");
+    let file = folder.path().join("store.redb");
     let mut bytes = std::fs::read(&file).expect("there");
     let at = bytes
         .windows(8)
@@ -204,7 +190,7 @@
         .expect("a value");
     bytes[at] ^= 1;
     std::fs::write(&file, bytes).expect("written");
-    let (code, out, err) = store(&["--json"], &folder.0);
+    let (code, out, err) = store(&["--json"], folder.path());
     assert!(code == 1 && err.contains("the store is corrupt"), "{err}");
     assert!(out.contains("\"wrong\":\"the store is corrupt"), "{out}");
 }
--- a/tools/raft-simulation/src/bounded_losses.rs
+++ b/tools/raft-simulation/src/bounded_losses.rs
@@ -285,17 +285,7 @@
         };
         match schedule.health[machine] {
             Health::Gone if room > 0 && added < MAX_ADDED && draw < 30 => {
-                // Back from the dead, as a machine more.
-                if schedule.rng.gen() {
-                    self.wipe(machine);
-                }
-                let seeds = schedule.seeds(machine, machine);
-                self.simulator.set_seeds(machine, seeds);
-                self.revive(machine);
-                // Who took its place is a machine of its own now.
-                schedule.successor.remove(&machine);
-                schedule.health[machine] = Health::Up(now);
-                return self.record_fault(Fault::Return(machine));
+                return self.return_removed(schedule, machine);
             }
             Health::Up(_) => {}
             _ => return,
@@ -316,8 +306,78 @@
         if counts && !is_new(machine) && draw < 900 {
             return;
         }
+        let may_add = added < MAX_ADDED && !covered;
+        self.inject_loss(schedule, machine, draw, may_add);
+    }
+
+    /// Starts a machine again that was removed, as an additional one.
+    fn return_removed(&mut self, schedule: &mut FailureSchedule, machine: usize) {
+        if schedule.rng.gen() {
+            self.wipe(machine);
+        }
+        let seeds = schedule.seeds(machine, machine);
+        self.simulator.set_seeds(machine, seeds);
+        self.revive(machine);
+        // Who took its place is a machine of its own now.
+        schedule.successor.remove(&machine);
+        schedule.health[machine] = Health::Up(self.simulator.now());
+        self.record_fault(Fault::Return(machine));
+    }
+
+    /// Loses a machine, for a while or for good, as the draw from 0 to 1000 says. `may_add`: a successor may be added.
+    fn inject_loss(
+        &mut self,
+        schedule: &mut FailureSchedule,
+        machine: usize,
+        draw: u32,
+        may_add: bool,
+    ) {
+        let now = self.simulator.now();
         let back = now + schedule.rng.gen_range(50 * MILLI..4 * SECOND);
-        let fault = match draw {
+        match draw {
+            0..700 => {
+                let fault = self.break_machine(schedule, machine, draw);
+                self.record_fault(fault);
+                schedule.health[machine] = Health::Lost;
+                schedule.later(back, Due::Back(machine));
+            }
+            700..760 => {
+                self.call(machine, Call::Leave);
+                schedule.health[machine] = Health::Leaving {
+                    again: true,
+                    ends: now + GRACE,
+                };
+                self.record_fault(Fault::Restart(machine));
+            }
+            760..880 if may_add => {
+                // A successor comes first, or after, or long after.
+                if schedule.rng.gen() {
+                    return self.succeed(schedule, machine);
+                }
+                let wait = schedule.rng.gen_range(0..3 * SECOND);
+                schedule.later(now + wait, Due::Successor(machine));
+                self.retire(schedule, machine);
+            }
+            880..960 if may_add => {
+                // Lost for good, and not in order.
+                self.remove(machine);
+                schedule.health[machine] = Health::Gone;
+                let wait = schedule.rng.gen_range(0..3 * SECOND);
+                schedule.later(now + wait, Due::Successor(machine));
+                self.record_fault(Fault::Lost(machine));
+            }
+            _ => {}
+        }
+    }
+
+    /// Breaks a machine in a way that is repaired later, as the draw from 0 to 700 says.
+    fn break_machine(
+        &mut self,
+        schedule: &mut FailureSchedule,
+        machine: usize,
+        draw: u32,
+    ) -> Fault {
+        match draw {
             0..200 => {
                 self.simulator.kill(machine);
                 Fault::Kill(machine)
@@ -342,41 +402,12 @@
                 self.simulator.set_disk_fault(machine, disk_fault);
                 Fault::Disk(machine, disk_fault)
             }
-            660..700 => {
-                self.simulator
-                    .set_lag(machine, schedule.rng.gen_range(MILLI..300 * MILLI));
+            _ => {
+                let lag = schedule.rng.gen_range(MILLI..300 * MILLI);
+                self.simulator.set_lag(machine, lag);
                 Fault::Slow(machine)
             }
-            700..760 => {
-                self.call(machine, Call::Leave);
-                schedule.health[machine] = Health::Leaving {
-                    again: true,
-                    ends: now + GRACE,
-                };
-                return self.record_fault(Fault::Restart(machine));
-            }
-            760..880 if added < MAX_ADDED && !covered => {
-                // A successor comes first, or after, or long after.
-                if schedule.rng.gen() {
-                    return self.succeed(schedule, machine);
-                }
-                let wait = schedule.rng.gen_range(0..3 * SECOND);
-                schedule.later(now + wait, Due::Successor(machine));
-                return self.retire(schedule, machine);
-            }
-            880..960 if added < MAX_ADDED && !covered => {
-                // Lost for good, and not in order.
-                self.remove(machine);
-                schedule.health[machine] = Health::Gone;
-                let wait = schedule.rng.gen_range(0..3 * SECOND);
-                schedule.later(now + wait, Due::Successor(machine));
-                return self.record_fault(Fault::Lost(machine));
-            }
-            _ => return,
-        };
-        self.record_fault(fault);
-        schedule.health[machine] = Health::Lost;
-        schedule.later(back, Due::Back(machine));
+        }
     }
 
     fn retire(&mut self, schedule: &mut FailureSchedule, machine: usize) {
--- a/tools/raft-simulation/src/long_run.rs
+++ b/tools/raft-simulation/src/long_run.rs
@@ -256,71 +256,32 @@
         }
     }
 
+    /// Puts a machine through a disruption. Returns how long it took to be up again.
     fn disrupt(&mut self, disruption: Disruption, machine: usize) -> Micros {
         let down = self.rng.gen_range(50 * MILLI..2 * SECOND);
-        let all = self.simulator.machines();
         match disruption {
             Disruption::Restart
             | Disruption::Wipe
             | Disruption::Corrupt
             | Disruption::LeaderWhileFilled
-            | Disruption::CutWhileFilled => {
-                if !matches!(disruption, Disruption::Restart | Disruption::Corrupt) {
-                    self.simulator.wipe(machine);
-                } else {
-                    self.simulator.kill(machine);
-                }
-                if disruption == Disruption::Corrupt {
-                    self.simulator.disk(machine).corrupt(&mut self.rng);
-                }
-                self.run_until(down, |_| false);
-                self.simulator.start(machine, &mut self.checks);
-                if disruption == Disruption::CutWhileFilled {
-                    let soon = self.rng.gen_range(MILLI..100 * MILLI);
-                    self.run_until(soon, |_| false);
-                    (0..all)
-                        .filter(|other| *other != machine)
-                        .for_each(|other| self.simulator.cut(other, machine));
-                    self.run_until(300 * MILLI, |_| false);
-                    (0..all).for_each(|other| self.simulator.join(other, machine));
-                }
-                if disruption == Disruption::LeaderWhileFilled {
-                    // Its filling starts over with another leader. Nobody is lost: leadership is handed on.
-                    let soon = self.rng.gen_range(MILLI..500 * MILLI);
-                    self.run_until(soon, |_| false);
-                    if let Some(leader) = self.leader() {
-                        self.simulator
-                            .call(leader, Call::StepDown, &mut self.checks);
-                    }
-                }
-            }
+            | Disruption::CutWhileFilled => self.restart(disruption, machine, down),
             Disruption::Freeze => {
                 self.simulator.freeze(machine);
                 self.run_until(down, |_| false);
                 self.simulator.thaw(machine, &mut self.checks);
             }
-            Disruption::Cut => {
-                let one_way = self.rng.gen_range(0..3);
-                let others = || (0..all).filter(|other| *other != machine);
-                others()
-                    .filter(|_| one_way != 1)
-                    .for_each(|other| self.simulator.cut(machine, other));
-                others()
-                    .filter(|_| one_way != 2)
-                    .for_each(|other| self.simulator.cut(other, machine));
-                self.run_until(down, |_| false);
-                others().for_each(|other| {
-                    self.simulator.join(machine, other);
-                    self.simulator.join(other, machine);
-                });
-            }
+            Disruption::Cut => self.partition(machine, down),
             Disruption::Disk(disk_fault) => {
                 self.simulator.set_disk_fault(machine, disk_fault);
                 self.run_until(down, |_| false);
                 self.simulator.set_disk_fault(machine, DiskFault::None);
             }
         }
-        let mended = self.simulator.now();
+        self.wait_until_up(disruption, machine)
+    }
+
+    fn wait_until_up(&mut self, disruption: Disruption, machine: usize) -> Micros {
+        let repaired = self.simulator.now();
         let (seed, bound) = (self.config.seed, self.config.recovery_interval);
         let up = self.run_until(bound, |run| run.is_up(machine));
         assert!(
@@ -328,10 +289,75 @@
             "seed {seed}: machine {machine} is not up {bound} us after {disruption:?}: {}",
             self.report()
         );
-        self.simulator.now() - mended
+        self.simulator.now() - repaired
+    }
+
+    /// Ends a machine's process and starts it again, on what the disruption leaves of its disk.
+    fn restart(&mut self, disruption: Disruption, machine: usize, down: Micros) {
+        if matches!(disruption, Disruption::Restart | Disruption::Corrupt) {
+            self.simulator.kill(machine);
+        } else {
+            self.simulator.wipe(machine);
+        }
+        if disruption == Disruption::Corrupt {
+            self.simulator.disk(machine).corrupt(&mut self.rng);
+        }
+        self.run_until(down, |_| false);
+        self.simulator.start(machine, &mut self.checks);
+        match disruption {
+            Disruption::CutWhileFilled => self.cut_while_filled(machine),
+            Disruption::LeaderWhileFilled => self.step_down_while_filled(),
+            _ => {}
+        }
+    }
+
+    /// Loses for a moment all that is sent to a machine that is being filled.
+    fn cut_while_filled(&mut self, machine: usize) {
+        let soon = self.rng.gen_range(MILLI..100 * MILLI);
+        self.run_until(soon, |_| false);
+        for other in self.others(machine) {
+            self.simulator.cut(other, machine);
+        }
+        self.run_until(300 * MILLI, |_| false);
+        for other in self.others(machine) {
+            self.simulator.join(other, machine);
+        }
+    }
+
+    /// Makes the filling of a machine start over with another leader. Nobody is lost: leadership is handed on.
+    fn step_down_while_filled(&mut self) {
+        let soon = self.rng.gen_range(MILLI..500 * MILLI);
+        self.run_until(soon, |_| false);
+        if let Some(leader) = self.leader() {
+            self.simulator
+                .call(leader, Call::StepDown, &mut self.checks);
+        }
+    }
+
+    /// Partitions a machine off, at random both ways or one way only.
+    fn partition(&mut self, machine: usize, down: Micros) {
+        let direction = self.rng.gen_range(0..3);
+        for other in self.others(machine) {
+            if direction != 1 {
+                self.simulator.cut(machine, other);
+            }
+            if direction != 2 {
+                self.simulator.cut(other, machine);
+            }
+        }
+        self.run_until(down, |_| false);
+        for other in self.others(machine) {
+            self.simulator.join(machine, other);
+            self.simulator.join(other, machine);
+        }
+    }
+
+    fn others(&self, machine: usize) -> Vec<usize> {
+        let machines = 0..self.simulator.machines();
+        machines.filter(|other| *other != machine).collect()
     }
 
-    /// Plays all changes, with one trial after the other.
+    /// Makes all changes, with one disruption after the other.
     pub fn run(mut self) -> LongRunSummary {
         let mut run = LongRunSummary::default();
         let number = |run: &LongRun| run.checks.acknowledged_version;
--- a/tools/raft-simulation/src/main.rs
+++ b/tools/raft-simulation/src/main.rs
@@ -185,38 +185,25 @@
 }
 
 fn run_random_faults(run: &Run) -> ExitCode {
-    let total = Mutex::new(RunTotals::default());
-    let failed = each_seed(run, "run", |seed| {
-        let config = ClusterConfig {
-            seed,
-            machines: run.machines,
-            net: NetworkProfile::RELIABLE,
-        };
-        let mut cluster = Cluster::with_tolerance(
-            config,
-            (run.machines - 1) / 2,
-            run.recovery_interval * MILLI,
-        );
-        cluster.run_with_random_faults(seed, run.steps);
-        total.lock().expect("not poisoned").add(&cluster.totals());
-    });
-    report(run, failed, &total.into_inner().expect("not poisoned"))
+    run_clusters(run, "run", Cluster::run_with_random_faults)
 }
 
 fn run_bounded_losses(run: &Run) -> ExitCode {
+    run_clusters(run, "losses", Cluster::run_with_bounded_failures)
+}
+
+/// Runs a cluster for each seed; `run_cluster` takes the seed and the number of steps.
+fn run_clusters(run: &Run, command: &str, run_cluster: fn(&mut Cluster, u64, u64)) -> ExitCode {
     let total = Mutex::new(RunTotals::default());
-    let failed = each_seed(run, "losses", |seed| {
+    let failed = each_seed(run, command, |seed| {
         let config = ClusterConfig {
             seed,
             machines: run.machines,
             net: NetworkProfile::RELIABLE,
         };
-        let mut cluster = Cluster::with_tolerance(
-            config,
-            (run.machines - 1) / 2,
-            run.recovery_interval * MILLI,
-        );
-        cluster.run_with_bounded_failures(seed, run.steps);
+        let tolerated = (run.machines - 1) / 2;
+        let mut cluster = Cluster::with_tolerance(config, tolerated, run.recovery_interval * MILLI);
+        run_cluster(&mut cluster, seed, run.steps);
         total.lock().expect("not poisoned").add(&cluster.totals());
     });
     report(run, failed, &total.into_inner().expect("not poisoned"))
@@ -272,104 +259,136 @@
     }
 }
 
-/// Times in milliseconds over the seeds: least, half, nine of ten, 99 of 100, most.
+/// What is measured, and how long it takes with the cluster of a seed.
+type Measurement = (&'static str, fn(&Measure, u64) -> Option<Micros>);
+
+const MEASUREMENTS: [Measurement; 7] = [
+    ("first start to leader", first_start),
+    ("leader killed to next leader", leader_killed),
+    ("leader frozen to next leader", leader_frozen),
+    ("all started again to leader", all_restarted),
+    ("leader's disk hangs to next leader", leaders_disk_hangs),
+    ("wiped machine started to voter", wiped_machine),
+    ("proposal to acknowledgement", proposal),
+];
+
+/// Prints times in milliseconds over the seeds: least, half, nine of ten, 99 of 100, most.
 fn measure(options: &Measure) {
-    let net = NetworkProfile {
-        delay: options.delay * MILLI,
-        ..NetworkProfile::RELIABLE
-    };
-    let started = |seed| {
-        let mut cluster = Cluster::new(ClusterConfig {
-            seed,
-            machines: options.machines,
-            net,
-        });
-        cluster.run_for(3 * SECOND + seed % 100 * MILLI);
-        cluster
-    };
-    let print = |what: &str, took: &dyn Fn(u64) -> Option<Micros>| {
-        let mut times: Vec<Micros> = options.seeds.clone().filter_map(took).collect();
+    for (name, run) in MEASUREMENTS {
+        let mut times: Vec<Micros> = options
+            .seeds
+            .clone()
+            .filter_map(|seed| run(options, seed))
+            .collect();
         times.sort_unstable();
         let missed = options.seeds.clone().count() - times.len();
-        let at = |part: usize| times[(times.len() - 1) * part / 100] / MILLI;
-        println!(
-            "{what}: {:?} ms, {missed} not within 10 s",
-            [0, 50, 90, 99, 100].map(at)
-        );
-    };
-    print("first start to leader", &|seed| {
-        let mut cluster = Cluster::new(ClusterConfig {
-            seed,
-            machines: options.machines,
-            net,
-        });
-        until(&mut cluster, |cluster| cluster.leader().is_some())
-    });
-    print("leader killed to next leader", &|seed| {
-        let mut cluster = started(seed);
-        let old = cluster.leader()?;
-        cluster.simulator.kill(old);
-        until(&mut cluster, |cluster| cluster.leader().is_some())
-    });
-    print("leader frozen to next leader", &|seed| {
-        let mut cluster = started(seed);
-        let old = cluster.leader()?;
-        cluster.simulator.freeze(old);
-        until(&mut cluster, |cluster| {
-            cluster.leader().is_some_and(|leader| leader != old)
-        })
-    });
-    print("all started again to leader", &|seed| {
-        let mut cluster = started(seed);
-        (0..options.machines).for_each(|machine| cluster.simulator.kill(machine));
-        (0..options.machines).for_each(|machine| cluster.start(machine));
-        until(&mut cluster, |cluster| cluster.leader().is_some())
-    });
-    print("leader's disk hangs to next leader", &|seed| {
-        let mut cluster = started(seed);
-        let old = cluster.leader()?;
-        cluster.simulator.set_disk_fault(old, DiskFault::Hung);
-        cluster.propose(old, 100);
-        until(&mut cluster, |cluster| {
-            cluster.leader().is_some_and(|leader| leader != old)
-        })
-    });
-    print("wiped machine started to voter", &|seed| {
-        let mut cluster = started(seed);
-        for _ in 0..120 {
-            let leader = cluster.leader()?;
-            cluster.propose(leader, 1000);
-            cluster.run_for(5 * MILLI);
-        }
-        let wiped = (cluster.leader()? + 1) % options.machines;
-        cluster.wipe(wiped);
-        cluster.run_for(SECOND);
-        cluster.start(wiped);
-        until(&mut cluster, |cluster| {
-            cluster
-                .node(wiped)
-                .is_some_and(|node| node.raft().is_voter())
-        })
-    });
-    print("proposal to acknowledgement", &|seed| {
-        let mut cluster = started(seed);
-        let request_id = cluster.propose(cluster.leader()?, 1000);
-        until(&mut cluster, |cluster| {
-            cluster.outcome(request_id).is_some()
-        })
-    });
-    let mut cluster = started(options.seeds.start);
+        let at = |percent: usize| times[(times.len() - 1) * percent / 100] / MILLI;
+        let percentiles = [0, 50, 90, 99, 100].map(at);
+        println!("{name}: {percentiles:?} ms, {missed} not within 10 s");
+    }
+    measure_idle(options);
+}
+
+fn measure_idle(options: &Measure) {
+    const SPAN: u64 = 10;
+    let mut cluster = running_cluster(options, options.seeds.start);
     let (messages, steps) = (cluster.simulator.messages(), cluster.simulator.steps());
-    cluster.run_for(10 * SECOND);
-    let (messages, steps) = (
-        cluster.simulator.messages() - messages,
-        cluster.simulator.steps() - steps,
-    );
-    println!(
-        "idle, all machines: {} messages, {} steps a second",
-        messages / 10,
-        steps / 10
-    );
+    cluster.run_for(SPAN * SECOND);
+    let messages = (cluster.simulator.messages() - messages) / SPAN;
+    let steps = (cluster.simulator.steps() - steps) / SPAN;
+    println!("idle, all machines: {messages} messages, {steps} steps a second");
+}
+
+fn new_cluster(options: &Measure, seed: u64) -> Cluster {
+    Cluster::new(ClusterConfig {
+        seed,
+        machines: options.machines,
+        net: NetworkProfile {
+            delay: options.delay * MILLI,
+            ..NetworkProfile::RELIABLE
+        },
+    })
+}
+
+/// Returns a cluster that has run for some seconds.
+fn running_cluster(options: &Measure, seed: u64) -> Cluster {
+    let mut cluster = new_cluster(options, seed);
+    cluster.run_for(3 * SECOND + seed % 100 * MILLI);
+    cluster
+}
+
+fn until_leader(cluster: &mut Cluster) -> Option<Micros> {
+    until(cluster, |cluster| cluster.leader().is_some())
+}
+
+fn until_other_leader(cluster: &mut Cluster, old: usize) -> Option<Micros> {
+    until(cluster, |cluster| {
+        cluster.leader().is_some_and(|leader| leader != old)
+    })
+}
+
+fn first_start(options: &Measure, seed: u64) -> Option<Micros> {
+    until_leader(&mut new_cluster(options, seed))
+}
+
+fn leader_killed(options: &Measure, seed: u64) -> Option<Micros> {
+    let mut cluster = running_cluster(options, seed);
+    let old = cluster.leader()?;
+    cluster.simulator.kill(old);
+    until_leader(&mut cluster)
+}
+
+fn leader_frozen(options: &Measure, seed: u64) -> Option<Micros> {
+    let mut cluster = running_cluster(options, seed);
+    let old = cluster.leader()?;
+    cluster.simulator.freeze(old);
+    until_other_leader(&mut cluster, old)
+}
+
+fn all_restarted(options: &Measure, seed: u64) -> Option<Micros> {
+    let mut cluster = running_cluster(options, seed);
+    for machine in 0..options.machines {
+        cluster.simulator.kill(machine);
+    }
+    for machine in 0..options.machines {
+        cluster.start(machine);
+    }
+    until_leader(&mut cluster)
+}
+
+fn leaders_disk_hangs(options: &Measure, seed: u64) -> Option<Micros> {
+    let mut cluster = running_cluster(options, seed);
+    let old = cluster.leader()?;
+    cluster.simulator.set_disk_fault(old, DiskFault::Hung);
+    cluster.propose(old, 100);
+    until_other_leader(&mut cluster, old)
+}
+
+fn wiped_machine(options: &Measure, seed: u64) -> Option<Micros> {
+    let mut cluster = running_cluster(options, seed);
+    for _ in 0..120 {
+        let leader = cluster.leader()?;
+        cluster.propose(leader, 1000);
+        cluster.run_for(5 * MILLI);
+    }
+    let wiped = (cluster.leader()? + 1) % options.machines;
+    cluster.wipe(wiped);
+    cluster.run_for(SECOND);
+    cluster.start(wiped);
+    until(&mut cluster, |cluster| {
+        cluster
+            .node(wiped)
+            .is_some_and(|node| node.raft().is_voter())
+    })
+}
+
+fn proposal(options: &Measure, seed: u64) -> Option<Micros> {
+    let mut cluster = running_cluster(options, seed);
+    let leader = cluster.leader()?;
+    let request_id = cluster.propose(leader, 1000);
+    until(&mut cluster, |cluster| {
+        cluster.outcome(request_id).is_some()
+    })
 }
 
 /// Returns how long it takes until the condition holds, unless that is more than ten seconds.
--- a/tools/raft-simulation/src/operator_node.rs
+++ b/tools/raft-simulation/src/operator_node.rs
@@ -2,7 +2,8 @@
 //! gateway's `controller/operator_api.rs` does.
 
 use crate::{BootOptions, Effect, Input, Micros, Process, MILLI, SECOND};
-use magpieline_control_plane::deduplication::{AcceptanceClock, Arrival, Digest, OrderContent};
+use magpieline_control_plane::deduplication::{AcceptanceClock, Arrival, OrderContent};
+use magpieline_control_plane::digest::Digest;
 use magpieline_control_plane::state_machine::{self, Command, ControlState, Phase, StoredConfig};
 use magpieline_raft::{
     Action, Envelope, Event, Index, Outcome, PersistentState, RaftNode, WriteBatch,
--- a/tools/raft-simulation/src/operator_workload/checks.rs
+++ b/tools/raft-simulation/src/operator_workload/checks.rs
@@ -2,7 +2,7 @@
 
 use crate::operator_node::{Observation, OperatorNode, OperatorResponse};
 use crate::{Micros, Observer};
-use magpieline_control_plane::deduplication::Digest;
+use magpieline_control_plane::digest::Digest;
 use magpieline_control_plane::state_machine::{Command, ControlState, Effect};
 use magpieline_raft::Index;
 use std::collections::BTreeMap;
