--- a/tests/terminology.rs
+++ b/tests/terminology.rs
@@ -30,7 +30,7 @@
 ];
 
 /// Crates and tools that are finished: `docs/ROADMAP.md`.
-const FINISHED: [&str; 9] = [
+const FINISHED: [&str; 10] = [
     "crates/config",
     "crates/control-plane",
     "crates/gateway",
@@ -39,6 +39,7 @@
     "crates/raft",
     "crates/raft-store",
     "crates/rollout",
+    "tools/proxy-simulation",
     "tools/raft-simulation",
 ];
 
--- a/tools/check-figures.sh
+++ b/tools/check-figures.sh
@@ -36,8 +36,8 @@
 # seeds, machines, failed; steps, calls, accepted, rejected, reads, unanswered, entries, rollouts, faults, wipes
 check "500 3 0 10661651 763178 150197 132966 91404 388611 175510 34682 73143 2546" $raft operators --seeds 1..501
 
-# The proxy simulation repeats its verdicts, but not its counts: several runs of one binary differ by a few in 100,000 (a
-# few plays depend on the iteration order of hash maps). So its failing seeds (known faults, docs/ROADMAP.md) are compared
+# The proxy simulation repeats its verdicts, but not its counts: several runs of one binary differ by a few in 100,000 (where
+# several tasks are ready, tokio's `select!` chooses by a random number that is not the seed's). So its failing seeds (known faults, docs/ROADMAP.md) are compared
 # exactly, its counts within 1 in 1,000.
 found=$($proxy 1 12000 || true)
 seeds=$(echo "$found" | sed -n 's/^seed \([0-9]*\):.*/\1/p' | tr '\n' ' ')
@@ -46,7 +46,7 @@
 # shellcheck disable=SC2086
 set -- $counts
 if [ "$seeds" = "1733 4484 11482 " ] && near "$3" 281880 && near "$4" 238504 && near "$5" 158673; then
-    echo "same      $proxy 1 12000: failing seeds $seeds; $3 requests, $4 forwards, $5 served"
+    echo "same      $proxy 1 12000: failing seeds $seeds; $3 requests, $4 attempts, $5 served"
 else
     echo "DIFFERENT $proxy 1 12000: failing seeds $seeds; $counts; expected 1733 4484 11482; 281880 238504 158673"
     differ=1
--- a/tools/proxy-simulation/src/client.rs
+++ b/tools/proxy-simulation/src/client.rs
@@ -1,359 +1,425 @@
-//! Clients: they send one behind the other or several at once, in pieces, slowly, leave, and come back.
+//! Clients: they send one request behind the other or several at once, in pieces, slowly, go away, and come back.
 
-use crate::appliance::token;
-use crate::book::{Micros, Sent};
-use crate::plain::{NoMore, Reader};
-use crate::play::World;
-use crate::stream::{pair, End};
-use crate::Dice;
+use crate::endpoint::token;
+use crate::http_reader::{Message, ReadError, Reader};
+use crate::memory_stream::{pair, MemoryStream};
+use crate::recorder::{Micros, SeenResponse, SentRequest};
+use crate::simulation::World;
+use crate::SeededRng;
 use rand::Rng;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{sleep, timeout};
 
+/// A response comes within so long of its request's deadline.
+const RESPONSE_TOLERANCE: Micros = 2_500_000;
+/// Bytes of a chunk of a body.
+const CHUNK_BYTES: usize = 700;
+/// Statuses that the gateway may answer with itself.
+const OWN_STATUSES: [u16; 9] = [400, 404, 408, 409, 413, 431, 502, 503, 504];
+
 #[derive(Clone, Debug)]
 struct Request {
     id: String,
     method: &'static str,
     path: String,
     body: Vec<u8>,
-    chunked: bool,
-    left_ms: u64,
+    is_chunked: bool,
+    timeout_ms: u64,
 }
 
 impl Request {
-    fn bytes(&self) -> Vec<u8> {
-        let Request {
+    fn draw(world: &World, id: String, is_idempotent: bool, rng: &mut SeededRng) -> Request {
+        let path = format!("/{}/{id}", if is_idempotent { "safe" } else { "once" });
+        let has_body = !is_idempotent || rng.gen_ratio(1, 6);
+        let sizes: &[u32] = match world.is_calm {
+            true => &[0, 3, 900, 4_900],
+            false => &[0, 3, 900, 4_900, 9_000],
+        };
+        let body = match has_body {
+            true => (0..sizes[rng.gen_range(0..sizes.len())])
+                .map(|i| i as u8)
+                .collect(),
+            false => Vec::new(),
+        };
+        let method = match has_body {
+            true => "POST",
+            false if rng.gen_ratio(1, 5) => "HEAD",
+            false => "GET",
+        };
+        let timeout_ms = match world.is_calm {
+            true => 9_000,
+            false => rng.gen_range(20..3_000),
+        };
+        Request {
             id,
             method,
             path,
+            is_chunked: has_body && rng.gen_ratio(1, 3),
             body,
-            left_ms,
-            ..
-        } = self;
+            timeout_ms,
+        }
+    }
+
+    fn is_idempotent(&self) -> bool {
+        self.path.starts_with("/safe/")
+    }
+
+    fn bytes(&self) -> Vec<u8> {
+        let (method, path, id, timeout_ms) = (self.method, &self.path, &self.id, self.timeout_ms);
         let head = format!(
-            "{method} {path} HTTP/1.1\r\nHost: h\r\nTry-Id: {id}\r\nTime-Left-Ms: {left_ms}\r\n"
+            "{method} {path} HTTP/1.1\r\nHost: h\r\nTry-Id: {id}\r\nTime-Left-Ms: {timeout_ms}\r\n"
         );
-        if self.chunked {
+        if self.is_chunked {
             let mut bytes = (head + "Transfer-Encoding: chunked\r\n\r\n").into_bytes();
-            for piece in body.chunks(700) {
-                bytes.extend(format!("{:x}\r\n", piece.len()).bytes());
-                bytes.extend([piece, b"\r\n"].concat());
+            for chunk in self.body.chunks(CHUNK_BYTES) {
+                bytes.extend(format!("{:x}\r\n", chunk.len()).bytes());
+                bytes.extend([chunk, b"\r\n"].concat());
             }
-            return [bytes, b"0\r\n\r\n".to_vec()].concat();
+            bytes.extend(b"0\r\n\r\n");
+            return bytes;
         }
-        match body.is_empty() && *method != "POST" {
-            true => (head + "\r\n").into_bytes(),
-            false => [
-                format!("{head}Content-Length: {}\r\n\r\n", body.len()).as_bytes(),
-                body,
-            ]
-            .concat(),
+        if self.body.is_empty() && method != "POST" {
+            return (head + "\r\n").into_bytes();
         }
+        let length = self.body.len();
+        let head = format!("{head}Content-Length: {length}\r\n\r\n");
+        [head.as_bytes(), &self.body].concat()
     }
 }
 
-/// One client, from its first request to its last.
-pub async fn run(world: Arc<World>, number: usize, mut dice: Dice) {
-    let mut made = 0;
-    let mut back: Option<Request> = None;
-    for _ in 0..dice.gen_range(1..4) {
-        if world.leaving() {
+/// How a batch of requests ended.
+enum BatchEnd {
+    /// The connection may be used again.
+    Open,
+    /// The connection is over.
+    Closed,
+    /// The client went away; whether by a reset.
+    Abandoned { by_reset: bool },
+}
+
+/// How a response ended.
+enum ResponseEnd {
+    /// It was complete.
+    Complete,
+    /// It was complete, and the last on its connection.
+    Last,
+    /// There was none.
+    Missing,
+}
+
+/// Runs one client, from its first request to its last.
+pub(crate) async fn run(world: Arc<World>, number: usize, rng: SeededRng) {
+    let mut client = Client {
+        world,
+        number,
+        rng,
+        requests: 0,
+        repeated: None,
+    };
+    for _ in 0..client.rng.gen_range(1..4) {
+        if client.world.is_shutting_down() {
             return;
         }
-        let (mut near, far) = pair(&mut dice, world.late, None);
-        world.serve(far);
+        client.use_connection().await;
+    }
+}
+
+struct Client {
+    world: Arc<World>,
+    number: usize,
+    rng: SeededRng,
+    /// How many requests were made.
+    requests: u64,
+    /// A request that is to be sent again, as its response was not waited for.
+    repeated: Option<Request>,
+}
+
+impl Client {
+    /// Sends batches of requests on a new connection.
+    async fn use_connection(&mut self) {
+        let (mut stream, far) = pair(&mut self.rng, self.world.delay_rate, None);
+        self.world.accept(far);
         let mut reader = Reader::default();
-        for _ in 0..dice.gen_range(1..4) {
-            let requests: Vec<Request> = match back.take() {
-                Some(request) => vec![request],
-                None => {
-                    let kind = dice.gen_range(0..4);
-                    let several = if kind == 0 { 1 } else { dice.gen_range(1..5) };
-                    let which = |i: usize, dice: &mut Dice| {
-                        kind == 0 && dice.gen() || kind == 3 && i % 2 == 1
-                    };
-                    let fresh = |i, dice: &mut Dice| {
-                        made += 1;
-                        request(&world, format!("c{number}-{made}"), which(i, dice), dice)
-                    };
-                    let mut fresh = fresh;
-                    (0..several).map(|i| fresh(i, &mut dice)).collect()
-                }
-            };
-            match batch(&world, &mut near, &mut reader, &requests, &mut dice).await {
-                Then::On => {}
-                Then::Ended => break,
-                Then::Left(how) => {
-                    let orders: Vec<&Request> = requests
-                        .iter()
-                        .filter(|r| r.path.starts_with("/once/"))
-                        .collect();
-                    if !orders.is_empty() && dice.gen() {
-                        back = Some(orders[dice.gen_range(0..orders.len())].clone());
-                        world.book.met("client back with the same id");
-                        sleep(Duration::from_millis(dice.gen_range(0..60))).await;
-                    }
-                    if how {
-                        near.reset();
+        for _ in 0..self.rng.gen_range(1..4) {
+            let requests = self.next_batch();
+            match self.send_batch(&mut stream, &mut reader, &requests).await {
+                BatchEnd::Open => {}
+                BatchEnd::Closed => return,
+                BatchEnd::Abandoned { by_reset } => {
+                    self.may_repeat(&requests).await;
+                    if by_reset {
+                        stream.reset();
                     }
-                    break;
+                    return;
                 }
             }
-            if !rest(&world, &mut near, &mut dice).await {
-                break;
+            if !self.rest(&mut stream).await {
+                return;
             }
         }
     }
-}
 
-fn request(world: &World, id: String, once: bool, dice: &mut Dice) -> Request {
-    let path = format!("/{}/{id}", if once { "once" } else { "safe" });
-    let bodied = once || dice.gen_ratio(1, 6);
-    let body = match bodied {
-        true => (0..[0, 3, 900, 4_900, 9_000][dice.gen_range(0..if world.calm { 4 } else { 5 })])
-            .map(|i| i as u8)
-            .collect(),
-        false => Vec::new(),
-    };
-    let method = match bodied {
-        true => "POST",
-        false if dice.gen_ratio(1, 5) => "HEAD",
-        false => "GET",
-    };
-    let left_ms = if world.calm {
-        9_000
-    } else {
-        dice.gen_range(20..3_000)
-    };
-    Request {
-        id,
-        method,
-        path,
-        chunked: bodied && dice.gen_ratio(1, 3),
-        body,
-        left_ms,
+    /// Draws a batch: one request, several idempotent ones, or both kinds in turn.
+    fn next_batch(&mut self) -> Vec<Request> {
+        if let Some(request) = self.repeated.take() {
+            return vec![request];
+        }
+        let kind = self.rng.gen_range(0..4);
+        let count = if kind == 0 {
+            1
+        } else {
+            self.rng.gen_range(1..5)
+        };
+        let draw = |i: usize| {
+            self.requests += 1;
+            let id = format!("c{}-{}", self.number, self.requests);
+            let is_once = kind == 0 && self.rng.gen() || kind == 3 && i % 2 == 1;
+            Request::draw(&self.world, id, !is_once, &mut self.rng)
+        };
+        (0..count).map(draw).collect()
     }
-}
 
-enum Then {
-    On,
-    /// The connection is over.
-    Ended,
-    /// The client went away; by a reset.
-    Left(bool),
-}
+    /// Draws whether a request of an abandoned batch is sent again.
+    async fn may_repeat(&mut self, requests: &[Request]) {
+        let once: Vec<&Request> = requests
+            .iter()
+            .filter(|request| !request.is_idempotent())
+            .collect();
+        if once.is_empty() || !self.rng.gen::<bool>() {
+            return;
+        }
+        self.repeated = Some(once[self.rng.gen_range(0..once.len())].clone());
+        self.world.recorder.count("client back with the same id");
+        sleep(Duration::from_millis(self.rng.gen_range(0..60))).await;
+    }
 
-async fn batch(
-    world: &World,
-    near: &mut End,
-    reader: &mut Reader,
-    requests: &[Request],
-    dice: &mut Dice,
-) -> Then {
-    let leaves = match !world.calm && dice.gen_ratio(1, 6) {
-        true => Duration::from_millis(dice.gen_range(0..500)),
-        false => Duration::from_secs(3600),
-    };
-    let by_reset = dice.gen();
-    let talk = async {
-        if !send(world, near, requests, dice).await {
-            return Then::Ended;
+    /// Sends requests and reads their responses, unless it goes away meanwhile.
+    async fn send_batch(
+        &mut self,
+        stream: &mut MemoryStream,
+        reader: &mut Reader,
+        requests: &[Request],
+    ) -> BatchEnd {
+        let patience = match !self.world.is_calm && self.rng.gen_ratio(1, 6) {
+            true => Duration::from_millis(self.rng.gen_range(0..500)),
+            false => Duration::from_secs(3600),
+        };
+        let by_reset = self.rng.gen();
+        match timeout(patience, self.exchange(stream, reader, requests)).await {
+            Ok(end) => end,
+            Err(_) => {
+                self.world.recorder.count("client left");
+                for request in requests {
+                    self.update(request, |sent| sent.is_abandoned = true);
+                }
+                BatchEnd::Abandoned { by_reset }
+            }
+        }
+    }
+
+    async fn exchange(
+        &mut self,
+        stream: &mut MemoryStream,
+        reader: &mut Reader,
+        requests: &[Request],
+    ) -> BatchEnd {
+        for request in requests {
+            // What was answered is read all the same.
+            if !self.send(stream, request).await {
+                break;
+            }
         }
         for (i, request) in requests.iter().enumerate() {
-            match hear(world, near, reader, request).await {
-                Heard::Whole => {}
-                Heard::Last => {
+            match self.receive(stream, reader, request).await {
+                ResponseEnd::Complete => {}
+                ResponseEnd::Missing => return BatchEnd::Closed,
+                ResponseEnd::Last => {
                     // Those behind it are taken to be unread.
                     for behind in &requests[i + 1..] {
-                        note(world, behind, |s| (s.left, s.unread) = (true, true));
+                        self.update(behind, |sent| {
+                            sent.is_abandoned = true;
+                            sent.is_behind_close = true;
+                        });
                     }
-                    return Then::Ended;
+                    return BatchEnd::Closed;
                 }
-                Heard::Nothing => return Then::Ended,
             }
         }
-        Then::On
-    };
-    match timeout(leaves, talk).await {
-        Ok(then) => then,
-        Err(_) => {
-            world.book.met("client left");
-            requests
-                .iter()
-                .for_each(|r| note(world, r, |s| s.left = true));
-            Then::Left(by_reset)
-        }
+        BatchEnd::Open
     }
-}
 
-fn note(world: &World, request: &Request, change: impl FnOnce(&mut Sent)) {
-    if let Some(sent) = world
-        .book
-        .open()
-        .sent
-        .get_mut(&request.id)
-        .and_then(|s| s.last_mut())
-    {
-        change(sent);
+    /// Updates what is recorded of a request's newest sending.
+    fn update(&self, request: &Request, update: impl FnOnce(&mut SentRequest)) {
+        let mut recording = self.world.recorder.lock();
+        let sent = recording.sent.get_mut(&request.id);
+        if let Some(sent) = sent.and_then(|sent| sent.last_mut()) {
+            update(sent);
+        }
     }
-}
 
-async fn send(world: &World, near: &mut End, requests: &[Request], dice: &mut Dice) -> bool {
-    for request in requests {
-        let now = world.book.now();
-        {
-            let mut pages = world.book.open();
-            let all = pages.sent.entry(request.id.clone()).or_default();
-            let again = !all.is_empty();
-            let span = (request.left_ms * 1000).min(world.give_up);
-            all.push(Sent {
-                path: request.path.clone(),
-                first: now,
-                due: now + span,
-                span,
-                again,
-                ..Sent::default()
-            });
-        }
+    /// Sends a request, now and then slowly. Returns false if the connection has ended.
+    async fn send(&mut self, stream: &mut MemoryStream, request: &Request) -> bool {
+        self.record_start(request);
         let bytes = request.bytes();
-        let slow = !world.calm && !request.body.is_empty() && dice.gen_ratio(1, 4);
-        let pieces = if slow { 3 } else { 1 };
+        let may_be_slow = !self.world.is_calm && !request.body.is_empty();
+        let is_slow = may_be_slow && self.rng.gen_ratio(1, 4);
+        let pieces = if is_slow { 3 } else { 1 };
         for (i, piece) in bytes.chunks(bytes.len().div_ceil(pieces)).enumerate() {
             if i > 0 {
-                sleep(Duration::from_millis(dice.gen_range(0..450))).await;
+                sleep(Duration::from_millis(self.rng.gen_range(0..450))).await;
             }
-            if near.write_all(piece).await.is_err() {
-                note(world, request, |s| s.left = true);
-                return true; // what was answered is read all the same
+            if stream.write_all(piece).await.is_err() {
+                self.update(request, |sent| sent.is_abandoned = true);
+                return false;
             }
         }
-        let now = world.book.now();
-        note(world, request, |s| s.last = Some(now));
+        let now = self.world.recorder.now();
+        self.update(request, |sent| sent.finished_at = Some(now));
+        true
     }
-    true
-}
 
-enum Heard {
-    Whole,
-    /// Whole, and nothing comes behind it.
-    Last,
-    Nothing,
-}
+    fn record_start(&self, request: &Request) {
+        let now = self.world.recorder.now();
+        let timeout = (request.timeout_ms * 1000).min(self.world.timeout);
+        let mut recording = self.world.recorder.lock();
+        let sent = recording.sent.entry(request.id.clone()).or_default();
+        sent.push(SentRequest {
+            started_at: now,
+            deadline: now + timeout,
+            timeout,
+            ..SentRequest::default()
+        });
+    }
 
-async fn hear(world: &World, near: &mut End, reader: &mut Reader, request: &Request) -> Heard {
-    let (id, book) = (&request.id, &world.book);
-    let due = book
-        .open()
-        .sent
-        .get(id)
-        .and_then(|s| s.last())
-        .map_or(0, |s| s.due.max(s.last.unwrap_or(0)));
-    let patience = due.saturating_sub(book.now()) + 2_500_000;
-    let answer = timeout(Duration::from_micros(patience), async {
-        loop {
-            let mut answer = reader.head(near).await?;
-            if (100..200).contains(&answer.status()) {
-                continue;
+    /// Reads the response to a request and checks it.
+    async fn receive(
+        &mut self,
+        stream: &mut MemoryStream,
+        reader: &mut Reader,
+        request: &Request,
+    ) -> ResponseEnd {
+        let patience = Duration::from_micros(self.response_patience(request));
+        let response = match timeout(patience, read_response(stream, reader, request)).await {
+            Ok(Ok(response)) => response,
+            Ok(Err(error)) => {
+                self.check_missing(request, error);
+                return ResponseEnd::Missing;
             }
-            if request.method != "HEAD" {
-                reader
-                    .body(near, &mut answer)
-                    .await
-                    .map_err(|_| NoMore::Broken)?;
+            Err(_) => {
+                self.world
+                    .recorder
+                    .violation(format!("{} has no answer", request.id));
+                return ResponseEnd::Missing;
             }
-            return Ok::<_, NoMore>(answer);
+        };
+        self.check_response(request, &response);
+        match response.is_last() {
+            true => ResponseEnd::Last,
+            false => ResponseEnd::Complete,
         }
-    });
-    let answer = match answer.await {
-        Ok(Ok(answer)) => answer,
-        Ok(Err(how)) => {
-            let pages = book.open();
-            let unsent = pages
-                .sent
-                .get(id)
-                .and_then(|s| s.last())
-                .is_none_or(|s| s.last.is_none() || s.left);
-            let arrived = pages.arrivals.iter().any(|a| a.id == *id);
-            let leaving = pages.leaves.is_some();
-            drop(pages);
-            if !unsent && (arrived || !leaving) {
-                let pages = book.open();
-                let (sent, arrivals) = (&pages.sent, pages.arrivals.iter().filter(|a| a.id == *id));
-                let what = format!(
-                    "{id} was read and its connection ended with no answer ({how:?}): {sent:?}, {:?}",
-                    arrivals.collect::<Vec<_>>()
-                );
-                drop(pages);
-                book.wrong(what);
+    }
+
+    fn response_patience(&self, request: &Request) -> Micros {
+        let now = self.world.recorder.now();
+        let recording = self.world.recorder.lock();
+        let sent = recording.sent.get(&request.id).and_then(|sent| sent.last());
+        let due = sent.map_or(0, |sent| sent.deadline.max(sent.finished_at.unwrap_or(0)));
+        due.saturating_sub(now) + RESPONSE_TOLERANCE
+    }
+
+    /// A request may only go unanswered if it was not sent completely, or has reached no endpoint at a shutdown.
+    fn check_missing(&self, request: &Request, error: ReadError) {
+        let id = &request.id;
+        let violation = {
+            let recording = self.world.recorder.lock();
+            let newest = recording.sent.get(id).and_then(|sent| sent.last());
+            let is_unsent =
+                newest.is_none_or(|sent| sent.finished_at.is_none() || sent.is_abandoned);
+            let arrivals: Vec<_> = recording.arrivals.iter().filter(|a| a.id == *id).collect();
+            let may_be_unread = arrivals.is_empty() && recording.shutdown_at.is_some();
+            if is_unsent || may_be_unread {
+                return;
             }
-            return Heard::Nothing;
+            let sent = &recording.sent[id];
+            format!("{id} was read and its connection ended with no answer ({error:?}): {sent:?}, {arrivals:?}")
+        };
+        self.world.recorder.violation(violation);
+    }
+
+    fn check_response(&self, request: &Request, response: &Message) {
+        let (id, recorder) = (&request.id, &self.world.recorder);
+        let (status, response_id) = (response.status(), response.header("try-id"));
+        let is_own = response_id.is_none();
+        self.update(request, |sent| {
+            sent.response = Some(SeenResponse { status, is_own })
+        });
+        if response_id.is_some_and(|response_id| response_id != id) {
+            recorder.violation(format!("{id} got the answer of {response_id:?}"));
         }
-        Err(_) => {
-            book.wrong(format!("{id} has no answer"));
-            return Heard::Nothing;
+        if is_own && !OWN_STATUSES.contains(&status) {
+            recorder.violation(format!("{id} got {} of nobody's", response.start_line));
         }
-    };
-    let (status, own) = (answer.status(), answer.field("try-id").is_none());
-    note(world, request, |s| s.answer = Some((status, own)));
-    if answer.field("try-id").is_some_and(|t| t != id) {
-        book.wrong(format!(
-            "{id} got the answer of {:?}",
-            answer.field("try-id")
-        ));
-    }
-    if own && !matches!(status, 400 | 404 | 408 | 409 | 413 | 431 | 502 | 503 | 504) {
-        book.wrong(format!("{id} got {} of nobody's", answer.first));
-    }
-    if (200..300).contains(&status) && request.method != "HEAD" {
-        let token = token(id, request.method, &request.path, &request.body);
-        let body = String::from_utf8_lossy(&answer.body).into_owned();
-        if !body.starts_with(&token)
-            || answer.field("postmark").is_none()
-            || answer.field("content-encoding").is_some()
-        {
-            book.wrong(format!("{id} got {body:?}"));
+        if (200..300).contains(&status) && request.method != "HEAD" {
+            let token = token(id, request.method, &request.path, &request.body);
+            let body = String::from_utf8_lossy(&response.body).into_owned();
+            let is_genuine = body.starts_with(&token)
+                && response.header("postmark").is_some()
+                && response.header("content-encoding").is_none();
+            if !is_genuine {
+                recorder.violation(format!("{id} got {body:?}"));
+            }
+        }
+        if self.world.is_calm && status != 200 {
+            recorder.violation(format!("{id} got {} on a calm day", response.start_line));
         }
     }
-    if world.calm && status != 200 {
-        book.wrong(format!("{id} got {} on a calm day", answer.first));
-    }
-    if answer.closes() {
-        Heard::Last
-    } else {
-        Heard::Whole
+
+    /// Rests for a part, up to four fifths, of the idle timeout as far as it is known by then. Returns whether the connection is
+    /// still there.
+    async fn rest(&mut self, stream: &mut MemoryStream) -> bool {
+        let part = match self.rng.gen_ratio(1, 3) {
+            true => self.rng.gen_range(0.0..0.8),
+            false => self.rng.gen_range(0.0..0.01),
+        };
+        let world = &self.world;
+        let started_at = world.recorder.now();
+        let mut byte = [0];
+        loop {
+            let (idle_timeout, rested) = (world.idle_timeout(), world.recorder.now() - started_at);
+            let left = ((idle_timeout as f64 * part) as Micros).saturating_sub(rested);
+            if left == 0 {
+                return true;
+            }
+            let wait = Duration::from_micros(left.min(50_000));
+            let Ok(read) = timeout(wait, stream.read(&mut byte)).await else {
+                continue;
+            };
+            if !world.is_shutting_down() {
+                world.recorder.violation(format!(
+                    "{read:?} on a connection that has rested for {rested} of {idle_timeout} us"
+                ));
+            }
+            return false;
+        }
     }
 }
 
-/// Rests for a part, up to four fifths, of what is allowed as far as is known by then; whether the connection is still
-/// there.
-async fn rest(world: &World, near: &mut End, dice: &mut Dice) -> bool {
-    let part = if dice.gen_ratio(1, 3) {
-        dice.gen_range(0.0..0.8)
-    } else {
-        dice.gen_range(0.0..0.01)
-    };
-    let begun = world.book.now();
-    let mut byte = [0];
+/// Reads the response to a request, passing over interim ones.
+async fn read_response(
+    stream: &mut MemoryStream,
+    reader: &mut Reader,
+    request: &Request,
+) -> Result<Message, ReadError> {
     loop {
-        let (idle, rested) = (world.idle(), world.book.now() - begun);
-        let left = ((idle as f64 * part) as Micros).saturating_sub(rested);
-        if left == 0 {
-            return true;
+        let mut response = reader.read_head(stream).await?;
+        if (100..200).contains(&response.status()) {
+            continue;
         }
-        if let Ok(read) = timeout(
-            Duration::from_micros(left.min(50_000)),
-            near.read(&mut byte),
-        )
-        .await
-        {
-            if !world.leaving() {
-                world.book.wrong(format!(
-                    "{read:?} on a connection that has rested for {rested} of {idle} us"
-                ));
-            }
-            return false;
+        if request.method != "HEAD" {
+            reader.read_body(stream, &mut response).await?;
         }
+        return Ok(response);
     }
 }
--- a/tools/proxy-simulation/src/lib.rs
+++ b/tools/proxy-simulation/src/lib.rs
@@ -1,26 +1,28 @@
-//! The counter between clients and appliances that misbehave: its real framing, its real forwards, hyper and all, on streams
-//! in memory and with time that passes when nothing else can happen. What takes days of bad luck on machines takes a few
+//! A proxy between simulated clients and endpoints that misbehave: its real framing and forwarding, hyper and all, on streams in
+//! memory and with time that passes when nothing else can happen. What takes days of bad luck on machines takes a few
 //! milliseconds here, and comes again from its seed.
 //!
-//! [`play`] plays one seed and says what was wrong: an answer under another request than its own, a request that may run
-//! once only sent where an earlier one may have run, a promise that is none, one passed on late, by an old edition or to
-//! an appliance that is gone, an idle connection ended too soon, a request broken off at work or lost.
+//! [`simulate`] runs one seed and returns what was violated: a response to another request than its own, a request that is not
+//! idempotent sent where an earlier attempt may have run, a false promise that it never ran, a request passed on late, by a
+//! replaced configuration or to an endpoint that is gone, an idle connection ended too soon, a request interrupted or
+//! lost.
 
-mod appliance;
-pub mod book;
+#![warn(missing_docs, unreachable_pub)]
+
+mod checks;
 mod client;
-mod plain;
-mod play;
-mod stream;
+mod endpoint;
+mod environment;
+mod http_reader;
+mod memory_stream;
+mod recorder;
+mod scenario;
+mod simulation;
 
-pub use play::{play, play_with_versions, Played};
+pub use simulation::{simulate, simulate_with_version_changes, Summary};
 
-/// Chance, from a seed.
-pub type Dice = rand_chacha::ChaCha8Rng;
+type SeededRng = rand_chacha::ChaCha8Rng;
 
-pub(crate) fn dice(seed: u64) -> Dice {
+fn rng(seed: u64) -> SeededRng {
     rand::SeedableRng::seed_from_u64(seed)
 }
-
-/// From SIGTERM to SIGKILL, in microseconds.
-pub(crate) const GRACE: u64 = 6_000_000;
