--- a/tools/check-figures.sh
+++ b/tools/check-figures.sh
@@ -36,9 +36,9 @@
 # seeds, machines, failed; steps, calls, accepted, rejected, reads, unanswered, entries, rollouts, faults, wipes
 check "500 3 0 10661651 763178 150197 132966 91404 388611 175510 34682 73143 2546" $raft operators --seeds 1..501
 
-# The proxy simulation repeats its verdicts, but not its counts: several runs of one binary differ by a few in 100,000 (where
-# several tasks are ready, tokio's `select!` chooses by a random number that is not the seed's). So its failing seeds (known faults, docs/ROADMAP.md) are compared
-# exactly, its counts within 1 in 1,000.
+# The proxy simulation repeats its verdicts, but not its counts: several runs of one binary differ by a few in 100,000. The cause
+# was not traced; hash maps and tokio's `select!` draw random numbers of their own. So its failing seeds (known faults,
+# docs/ROADMAP.md) are compared exactly, its counts within 1 in 1,000.
 found=$($proxy 1 12000 || true)
 seeds=$(echo "$found" | sed -n 's/^seed \([0-9]*\):.*/\1/p' | tr '\n' ' ')
 counts=$(echo "$found" | grep ' requests, ' | numbers)
