--- a/crates/ext-proc/src/front.rs
+++ b/crates/ext-proc/src/front.rs
@@ -8,7 +8,9 @@
 use hyper::body::Incoming;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use magpieline_attempt_log::{Ask, Ledger, Ran, Record, Refusal, Risk};
+use magpieline_attempt_log::log::AttemptLog;
+use magpieline_attempt_log::record::Record;
+use magpieline_attempt_log::request::{AttemptRequest, FirstAttempt, Outcome, Rejection};
 use magpieline_dispatch::{guarded, Exchange};
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -52,7 +54,7 @@
     pub table: Table,
     /// The header by which a node says that it has turned a hit away unseen.
     pub turned_away: String,
-    ledger: RefCell<Ledger>,
+    ledger: RefCell<AttemptLog>,
     shelf: Option<Rc<dyn Shelf>>,
     connections: Cell<usize>,
 }
@@ -68,7 +70,7 @@
         knows_from: f64,
     ) -> Front {
         let now = exchange.now();
-        let ledger = Ledger::recover(now, table.bounds, records, knows_from.min(now)).into();
+        let ledger = AttemptLog::recover(now, table.bounds, records, knows_from.min(now)).into();
         let (turned_away, connections) = (turned_away.to_owned(), Cell::default());
         Front {
             exchange,
@@ -80,8 +82,8 @@
         }
     }
 
-    pub fn ask(&self, ask: &Ask) -> Result<Option<Risk>, Refusal> {
-        self.ledger.borrow_mut().ask(self.exchange.now(), ask)
+    pub fn ask(&self, ask: &AttemptRequest) -> Result<Option<FirstAttempt>, Rejection> {
+        self.ledger.borrow_mut().begin(self.exchange.now(), ask)
     }
 
     /// One in hand is about to be told to its caller; an error says why it can't be written down.
@@ -90,7 +92,7 @@
         let record = self
             .ledger
             .borrow_mut()
-            .sent(self.exchange.now(), id, zone, cell);
+            .on_sent(self.exchange.now(), id, zone, cell);
         match (&self.shelf, record) {
             (Some(shelf), Some(record)) => shelf.write(record).await,
             _ => Ok(()),
@@ -98,11 +100,11 @@
     }
 
     /// One in hand is over.
-    pub fn over(&self, id: u64, sent: bool, ran: Ran) {
+    pub fn over(&self, id: u64, sent: bool, ran: Outcome) {
         let record = self
             .ledger
             .borrow_mut()
-            .ended(self.exchange.now(), id, sent, ran);
+            .on_end(self.exchange.now(), id, sent, ran);
         // That it never ran may be lost: then it counts as if it had.
         if let (Some(shelf), Some(record)) = (&self.shelf, record) {
             let written = shelf.write(record);
--- a/crates/ext-proc/src/stream.rs
+++ b/crates/ext-proc/src/stream.rs
@@ -6,7 +6,7 @@
 use crate::table::{Asked, Odd};
 use bytes::Bytes;
 use magpieline::interface::Arrival;
-use magpieline_attempt_log::{Ask, Ran, Refusal};
+use magpieline_attempt_log::request::{AttemptRequest, Outcome, Rejection};
 use magpieline_dispatch::{Answer, End, Load, Ticket};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -44,8 +44,8 @@
 
     fn finish(&mut self, end: End) {
         let ran = match end {
-            End::TurnedAway | End::Nowhere => Ran::Never,
-            _ => Ran::Maybe,
+            End::TurnedAway | End::Nowhere => Outcome::NeverRan,
+            _ => Outcome::MayHaveRun,
         };
         if let Some(id) = self.id.take() {
             self.front.over(id, self.sent, ran);
@@ -198,17 +198,19 @@
     }
     let mut risk = None;
     if let Some(id) = id {
-        match front.ask(&Ask {
+        match front.ask(&AttemptRequest {
             id,
-            kind: row.kind,
-            again,
-            began,
+            idempotency: row.kind,
+            is_retry: again,
+            received_at: began,
         }) {
             Ok(known) => risk = known,
-            Err(Refusal::Full) => return immediate(503, 1.0, "no more ids can be remembered"),
-            Err(Refusal::InHand) => return immediate(409, 0.0, "one of this id is in hand"),
-            Err(Refusal::MayHaveRun) => return immediate(409, 0.0, "one of this id may have run"),
-            Err(Refusal::Unknown) => {
+            Err(Rejection::Full) => return immediate(503, 1.0, "no more ids can be remembered"),
+            Err(Rejection::InProgress) => return immediate(409, 0.0, "one of this id is in hand"),
+            Err(Rejection::MayHaveRun) => {
+                return immediate(409, 0.0, "one of this id may have run")
+            }
+            Err(Rejection::Unknown) => {
                 return immediate(409, 0.0, "asked before, and nothing is known of that")
             }
         }
@@ -253,7 +255,7 @@
         Err(Told { address, limit }) => {
             case.ticket = Some(ticket);
             // It may have waited until nodes know its repeats no more.
-            if risk.is_some_and(|r| !row.kind.is_known(front.exchange.now(), r)) {
+            if risk.is_some_and(|r| !row.kind.is_recognized(front.exchange.now(), r)) {
                 return immediate(409, 0.0, "one of this id may have run");
             }
             // Written before it is told, where there is a disk; what can't be written is not risked.
--- a/crates/ext-proc/src/table.rs
+++ b/crates/ext-proc/src/table.rs
@@ -2,7 +2,8 @@
 //! is answered when nothing can be decided. Operators say so; a path without a row is none of ours.
 
 use crate::messages::HeaderMap;
-use magpieline_attempt_log::{Bounds, Kind};
+use magpieline_attempt_log::log::Limits;
+use magpieline_attempt_log::request::Idempotency;
 use magpieline_dispatch::{hash, Exchange};
 use magpieline_operator_config::{number, text, Values};
 
@@ -14,7 +15,7 @@
 pub struct Row {
     pub prefix: String,
     pub group: usize,
-    pub kind: Kind,
+    pub kind: Idempotency,
     /// The client timeout in seconds, and the header that says it in milliseconds for one hit.
     pub timeout: f64,
     /// When nothing can be decided the caller goes on by itself, else it answers at once.
@@ -33,7 +34,7 @@
     pub began: String,
     /// The header that names the node.
     pub node: String,
-    pub bounds: Bounds,
+    pub bounds: Limits,
     /// Streams on one connection at most.
     pub streams: u32,
 }
@@ -79,14 +80,14 @@
                 ));
             };
             let kind = match exchange.repeat(group) {
-                "retryable" => Kind::Repeatable,
-                "dedup" => Kind::Tagged {
+                "retryable" => Idempotency::Idempotent,
+                "dedup" => Idempotency::Deduplicated {
                     window: exchange.window(group),
                 },
-                _ => Kind::Mutating,
+                _ => Idempotency::NonIdempotent,
             };
             let open = text(&of("when_unsure")) == "open";
-            if open && kind != Kind::Repeatable {
+            if open && kind != Idempotency::Idempotent {
                 return wrong(
                     "when-unsure: found open, expected closed: its hits may not run twice".into(),
                 );
@@ -113,9 +114,9 @@
             again: text("again_header").into(),
             began: text("began_header").into(),
             node: text("node_header").into(),
-            bounds: Bounds {
-                most: number("most_remembered") as usize,
-                remember: number("remember_s"),
+            bounds: Limits {
+                max_entries: number("most_remembered") as usize,
+                retention: number("remember_s"),
             },
             streams: number("most_streams") as u32,
         })
@@ -150,7 +151,7 @@
                 .filter(|n| n.is_finite() && *n >= 0.0)
         };
         let id = word(&self.id).map(|id| hash(format!("extproc {} {id}", row.group).as_bytes()));
-        if id.is_none() && row.kind != Kind::Repeatable {
+        if id.is_none() && row.kind != Idempotency::Idempotent {
             return Err(Odd::NoId);
         }
         let again = match word(&self.again) {
--- a/crates/ext-proc/src/tests.rs
+++ b/crates/ext-proc/src/tests.rs
@@ -6,7 +6,7 @@
 use crate::table::Table;
 use futures_util::future::LocalBoxFuture;
 use magpieline::interface::Listed;
-use magpieline_attempt_log::Record;
+use magpieline_attempt_log::record::Record;
 use magpieline_dispatch::{Chosen, End, Entry, Exchange, Load, Way, Ways};
 use magpieline_operator_config::Schema;
 use rand::{Rng, SeedableRng};
--- a/crates/sidecar/src/life/extproc.rs
+++ b/crates/sidecar/src/life/extproc.rs
@@ -6,7 +6,7 @@
 use crate::wire::headers;
 use futures_util::future::LocalBoxFuture;
 use futures_util::FutureExt;
-use magpieline_attempt_log::Record;
+use magpieline_attempt_log::record::Record;
 use magpieline_dispatch::{unix, Exchange};
 use magpieline_ext_proc::{Front, Shelf, Table};
 use magpieline_operator_config::{text, Values};
@@ -159,7 +159,7 @@
 mod tests {
     use super::*;
     use crate::testing::*;
-    use magpieline_attempt_log::{Ask, Kind, Ran, Refusal};
+    use magpieline_attempt_log::request::{AttemptRequest, Idempotency, Outcome, Rejection};
     use magpieline_operator_config::Schema;
 
     fn values(journal: &Path) -> Values {
@@ -176,11 +176,11 @@
     #[test]
     fn a_restart_knows_what_was_told() {
         let path = folder("extproc").join("calls.journal");
-        let ask = |id| Ask {
+        let ask = |id| AttemptRequest {
             id,
-            kind: Kind::Mutating,
-            again: false,
-            began: Some(unix() - 0.5),
+            idempotency: Idempotency::NonIdempotent,
+            is_retry: false,
+            received_at: Some(unix() - 0.5),
         };
         let start = || {
             let exchange = exchange_of(&["127.0.0.1:1".parse().expect("an address")]);
@@ -193,13 +193,13 @@
             let front = start();
             assert_eq!(
                 front.ask(&ask(1)),
-                Err(Refusal::Unknown),
+                Err(Rejection::Unknown),
                 "older than the journal"
             );
             for id in 1..4 {
                 front
-                    .ask(&Ask {
-                        began: None,
+                    .ask(&AttemptRequest {
+                        received_at: None,
                         ..ask(id)
                     })
                     .expect("new");
@@ -212,13 +212,13 @@
                 .sent(2, "127.0.0.1:1".parse().expect("an address"))
                 .await
                 .expect("written");
-            front.over(2, true, Ran::Never);
+            front.over(2, true, Outcome::NeverRan);
             tokio::time::sleep(std::time::Duration::from_millis(700)).await;
         });
         std::thread::sleep(std::time::Duration::from_millis(300)); // until its thread has let the file go
         run(async {
             let front = start();
-            assert_eq!(front.ask(&ask(1)), Err(Refusal::MayHaveRun));
+            assert_eq!(front.ask(&ask(1)), Err(Rejection::MayHaveRun));
             assert_eq!(front.ask(&ask(2)), Ok(None), "turned away unseen");
             assert_eq!(front.ask(&ask(3)), Ok(None), "never told");
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
@@ -232,7 +232,7 @@
             let front = start();
             assert_eq!(
                 front.ask(&ask(9)),
-                Err(Refusal::Unknown),
+                Err(Rejection::Unknown),
                 "older than what is known"
             );
             let file = values(Path::new("/proc/nowhere/calls.journal"));
--- a/tests/terminology.rs
+++ b/tests/terminology.rs
@@ -30,7 +30,8 @@
 ];
 
 /// Crates and tools that are finished: `docs/ROADMAP.md`.
-const FINISHED: [&str; 10] = [
+const FINISHED: [&str; 11] = [
+    "crates/attempt-log",
     "crates/config",
     "crates/control-plane",
     "crates/gateway",
