--- a/crates/control-plane/tests/narrow_links.rs
+++ b/crates/control-plane/tests/narrow_links.rs
@@ -1,7 +1,7 @@
 //! Editions on narrow links: a leader on 51 Mbit/s and 88 proxies on 2 Mbit/s, most of which their clients don't need,
 //! simulated; a large edition, a storm of small ones, joins, restarts, cuts and a new leader in the middle of it. Checked
 //! after each step: no proxy goes back, each edition is in force in time wherever it can be, proxies and followers
-//! hear signs of life in time, and what is on its way and what is kept is bounded. `NARROW_SEEDS` plays more days.
+//! receive heartbeats in time, and what is in flight and what is kept is bounded. `NARROW_SEEDS` plays more days.
 
 use bytes::Bytes;
 use magpieline_control_plane::config_receiver::{ConfigReceiver, Received};
@@ -43,7 +43,7 @@
     Due(u64),
     Beat,
     FollowersBeat,
-    /// A follower hears a beat that was sent then.
+    /// A follower receives a heartbeat that was sent then.
     Followed(u64),
     Arrives(usize, u64, Bytes),
     Holds(usize, u64, StoredConfig),
--- a/crates/control-plane/tests/state_machine.rs
+++ b/crates/control-plane/tests/state_machine.rs
@@ -1,4 +1,4 @@
-//! What the sorting machines agree on, command by command: one document under a number, one order once, steps of a
+//! What the controllers agree on, command by command: one document under a number, one order once, steps of a
 //! rollout only where they may follow.
 
 use magpieline_control_plane::digest::Digest;
--- a/crates/gateway/src/commands/check.rs
+++ b/crates/gateway/src/commands/check.rs
@@ -103,7 +103,7 @@
     Ok(sound.into())
 }
 
-/// A file's text, or that of standard input.
+/// Reads a file, or standard input for `-`.
 pub(super) fn read_file(file: &str) -> std::io::Result<String> {
     if file == "-" {
         let mut text = String::new();
@@ -113,11 +113,11 @@
     std::fs::read_to_string(file)
 }
 
-/// What a check has report.
+/// What a check has found.
 struct Report {
     kind: Kind,
     diagnostics: Vec<Diagnostic>,
-    /// What is sound, and hardly what was meant.
+    /// What is valid, and hardly what was meant.
     notes: Vec<String>,
     summary: Vec<(&'static str, String)>,
     json: Json,
@@ -189,7 +189,7 @@
     }
 }
 
-/// Complaints for machines.
+/// Returns diagnostics as JSON.
 pub(super) fn complaints(diagnostics: &[Diagnostic]) -> Vec<Json> {
     let shown = |c: &Diagnostic| {
         jzon::object! { place: c.path.as_str(), found: c.found.as_str(), expected: c.expected.as_str() }
@@ -286,7 +286,7 @@
     }
 }
 
-/// The commands that such a machine can run.
+/// Returns the roles that a machine with these settings can run.
 fn roles(settings: &NodeSettings) -> Vec<&'static str> {
     let has = |post: &str| settings.listen_addresses.contains_key(post);
     let mut roles = Vec::new();
@@ -321,7 +321,7 @@
     ]
 }
 
-/// All routes, by host and prefix.
+/// Returns all routes, by host and prefix.
 fn sorted_routes(config: &GatewayConfig) -> Vec<(&str, &Route)> {
     let mut all: Vec<(&str, &Route)> = config
         .routes()
@@ -372,7 +372,7 @@
     services
 }
 
-/// How many routes go to a service, at least in part.
+/// Counts the routes that go to a service, at least in part.
 fn routes_to(config: &GatewayConfig, service: &str) -> usize {
     config
         .routes()
@@ -381,7 +381,7 @@
         .count()
 }
 
-/// A configuration for people.
+/// Returns names and values of a configuration, for people.
 pub(super) fn config_lines(config: &GatewayConfig) -> Vec<(&'static str, String)> {
     let (counts, allowed) = (counts(config), config.client_limits);
     let services: Vec<String> = services_by_name(config)
@@ -429,7 +429,7 @@
     ]
 }
 
-/// A configuration for machines.
+/// Returns a configuration as JSON.
 fn config_json(config: &GatewayConfig) -> Json {
     let (counts, allowed) = (counts(config), config.client_limits);
     let services: Vec<Json> = services_by_name(config)
@@ -450,7 +450,7 @@
     }
 }
 
-/// A configuration's routes, one a line.
+/// Formats a configuration's routes as a table.
 pub(super) fn route_table(config: &GatewayConfig) -> String {
     let head = [
         "host",
@@ -488,7 +488,7 @@
     columns(&rows, "  ")
 }
 
-/// What a configuration may say, and hardly means.
+/// Returns notes on what a configuration may say, and hardly means.
 fn notes(config: &GatewayConfig) -> Vec<String> {
     let unmet = |prefix: &str| !prefix.starts_with('/') || !prefix.ends_with('/');
     let prefixes = sorted_routes(config)
--- a/crates/gateway/src/commands/mod.rs
+++ b/crates/gateway/src/commands/mod.rs
@@ -224,7 +224,7 @@
     done.unwrap_or_else(|error| usage_error(arguments, &error))
 }
 
-/// Says what is wrong with the command line, and how it should be.
+/// Prints what is wrong with the command line, and how it should be.
 fn usage_error(arguments: &[String], error: &str) -> ExitStatus {
     let command = arguments
         .iter()
--- a/crates/gateway/src/commands/operator_client.rs
+++ b/crates/gateway/src/commands/operator_client.rs
@@ -18,12 +18,12 @@
 const RESPONSE_TIMEOUT: Micros = 1_000_000;
 /// with so much more for each byte that goes or may come: a megabyte a second.
 const TIME_PER_BYTE: Micros = 1;
-/// Longest answer that is read; also what an answer may take its time for when a configuration is read.
+/// The longest answer that is read; reading a configuration may take the time for so many bytes.
 const MAX_RESPONSE_BYTES: usize = 32 << 20;
-/// Between rounds through the addresses: the first pause and the longest.
+/// Between rounds through the addresses: the first pause, doubled after each round, and the longest.
 const FIRST_PAUSE: Micros = 100_000;
 const MAX_PAUSE: Micros = 1_000_000;
-/// A refusal that is not final by its status ends a call when it comes so often.
+/// A rejection that is not final by its status ends a call when it comes so often.
 const MAX_DOUBTFUL: u32 = 3;
 
 /// A clear answer.
@@ -46,7 +46,7 @@
     Unclear(BTreeMap<SocketAddrV4, String>),
 }
 
-/// What a status asks of a caller.
+/// What a status means to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StatusMeaning {
     /// It is the answer.
@@ -74,7 +74,7 @@
     }
 }
 
-/// Makes a call with one body, again and again deadline it has a clear answer, for at most `patience`.
+/// Makes a call with one body, again and again until it has a clear answer, for at most `patience`.
 pub(super) async fn call(
     addresses: &[SocketAddrV4],
     query: &str,
--- a/crates/gateway/src/commands/operator_commands.rs
+++ b/crates/gateway/src/commands/operator_commands.rs
@@ -9,7 +9,7 @@
 use magpieline_config::durations;
 use magpieline_config::gateway_config::GatewayConfig;
 
-/// A rollout that is waited for is asked about this often,
+/// The state of a rollout that is waited for is read this often,
 const POLL_INTERVAL: Micros = 500_000;
 /// and for so long after its term.
 const MAX_DELAY: Micros = 30_000_000;
@@ -96,7 +96,7 @@
     json: bool,
 }
 
-/// Says how a command has ended: a sentence, or an object for machines.
+/// Prints how a command has ended: a sentence, or an object for machines.
 fn finish(json: bool, done: bool, sentence: &str, mut object: Json) -> ExitStatus {
     if json {
         let _ = object.insert("done", done);
@@ -109,7 +109,7 @@
     done.into()
 }
 
-/// Says why a call has no good answer.
+/// Prints why a call has failed.
 fn fail(json: bool, what: &str, error: &CallError) -> ExitStatus {
     let (sentence, object) = match error {
         CallError::Rejected { by, status, text } => {
@@ -135,6 +135,11 @@
     finish(json, false, &sentence, object)
 }
 
+/// Sends a configuration, and reads back whether it is in force.
+///
+/// # Errors
+///
+/// If there is no runtime.
 pub(super) fn send(options: &SendOptions) -> Result<ExitStatus, String> {
     let file = &options.file;
     let text = match read_file(file) {
@@ -209,6 +214,11 @@
     }
 }
 
+/// Shows the configuration in force.
+///
+/// # Errors
+///
+/// If there is no runtime.
 pub(super) fn read(options: &ReadOptions) -> Result<ExitStatus, String> {
     block_on(async {
         let answer = match call(&options.address.0, "call=config.read", "", options.patience).await
@@ -237,58 +247,92 @@
     })
 }
 
-pub(super) fn rollout(options: &RolloutOptions) -> Result<ExitStatus, String> {
-    let service = &options.service;
-    let order = match (&options.version, options.within) {
-        (Some(version), Some(within)) => Some((version, within)),
-        (None, None) => None,
-        (Some(_), None) => {
-            return Err("--within: found nothing, expected the rollout's term such as 12s".into())
-        }
-        (None, Some(_)) => {
-            return Err("--within: found it without a VERSION, expected both or neither".into())
+/// A rollout that is ordered.
+struct Order<'a> {
+    version: &'a str,
+    within: Micros,
+}
+
+impl Order<'_> {
+    /// Returns the order that the options make; none: the state is asked for.
+    fn of(options: &RolloutOptions) -> Result<Option<Order<'_>>, String> {
+        match (&options.version, options.within) {
+            (Some(version), Some(within)) => Ok(Some(Order { version, within })),
+            (None, None) => Ok(None),
+            (Some(_), None) => {
+                Err("--within: found nothing, expected the rollout's term such as 12s".into())
+            }
+            (None, Some(_)) => {
+                Err("--within: found it without a VERSION, expected both or neither".into())
+            }
         }
-    };
+    }
+}
+
+/// Orders a rollout, or shows a service's newest one.
+///
+/// # Errors
+///
+/// If the options contradict each other.
+pub(super) fn rollout(options: &RolloutOptions) -> Result<ExitStatus, String> {
+    let order = Order::of(options)?;
     block_on(async {
-        if let Some((version, within)) = order {
-            let body = jzon::object! { service: service.as_str(), to_edition: version.as_str(),
-            within: durations::format(within) };
-            let called = call(
-                &options.address.0,
-                "call=editions.begin",
-                &body.dump(),
-                options.patience,
-            )
-            .await;
-            if let Err(error) = called {
-                return fail(
-                    options.json,
-                    &format!("rollout of {service} to {version}"),
-                    &error,
-                );
+        if let Some(order) = &order {
+            if let Err(error) = begin_rollout(options, order).await {
+                let what = format!("rollout of {} to {}", options.service, order.version);
+                return fail(options.json, &what, &error);
             }
         }
-        let deadline = now() + order.map_or(0, |(_, within)| within) + MAX_DELAY;
-        loop {
-            let rollout = match state(options).await {
-                Ok(rollout) => rollout,
-                Err(CallError::Rejected { status: 404, .. }) => RolloutState {
-                    state: "none".into(),
-                    to: "-".into(),
-                },
-                Err(error) => return fail(options.json, &format!("rollout of {service}"), &error),
-            };
-            let moves = rollout.state == "in_transit";
-            if options.wait && moves && now() < deadline {
-                tokio::time::sleep(duration(POLL_INTERVAL)).await;
-                continue;
-            }
-            return rollout.finish(options, order.map(|(version, _)| version.as_str()));
+        match final_state(options, order.as_ref()).await {
+            Ok(state) => state.finish(options, order.map(|order| order.version)),
+            Err(error) => fail(
+                options.json,
+                &format!("rollout of {}", options.service),
+                &error,
+            ),
         }
     })
 }
 
-/// How a service's newest rollout rollout.
+async fn begin_rollout(options: &RolloutOptions, order: &Order<'_>) -> Result<Answer, CallError> {
+    let body = jzon::object! {
+        service: options.service.as_str(),
+        to_edition: order.version,
+        within: durations::format(order.within)
+    };
+    let addresses = &options.address.0;
+    call(
+        addresses,
+        "call=editions.begin",
+        &body.dump(),
+        options.patience,
+    )
+    .await
+}
+
+/// Returns the state of the newest rollout; if the options say so, once it is over.
+async fn final_state(
+    options: &RolloutOptions,
+    order: Option<&Order<'_>>,
+) -> Result<RolloutState, CallError> {
+    let deadline = now() + order.map_or(0, |order| order.within) + MAX_DELAY;
+    loop {
+        let state = match state(options).await {
+            Err(CallError::Rejected { status: 404, .. }) => RolloutState {
+                state: "none".into(),
+                to: "-".into(),
+            },
+            state => state?,
+        };
+        let is_active = state.state == "in_transit";
+        if !options.wait || !is_active || now() >= deadline {
+            return Ok(state);
+        }
+        tokio::time::sleep(duration(POLL_INTERVAL)).await;
+    }
+}
+
+/// The state of a service's newest rollout.
 struct RolloutState {
     state: String,
     to: String,
--- a/crates/gateway/src/commands/store.rs
+++ b/crates/gateway/src/commands/store.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// A command's name and what it is about.
+/// Returns a command's name and what it is about.
 fn describe_command(command: &Command) -> (&'static str, String) {
     match command {
         Command::ReplaceConfig(config) => (
@@ -211,7 +211,7 @@
     join(&shown)
 }
 
-/// What was agreed on, carried out again: from the snapshot, through the log up to `to`.
+/// Applies what was committed again: the snapshot, then the log up to `to`.
 fn replay(stored: &PersistentState, entries: &[LogEntry], to: u64) -> ControlState {
     let (mut state, mut at) = (ControlState::default(), 0);
     if let Some(snapshot) = &stored.snapshot {
@@ -269,7 +269,7 @@
         self.uncommitted.as_ref().unwrap_or(&self.committed)
     }
 
-    /// How many entries there are of each kind, the frequent ones first.
+    /// Counts the entries of each kind, the frequent ones first.
     fn kinds(&self) -> Vec<(&'static str, usize)> {
         let mut kinds: Vec<(&'static str, usize)> = Vec::new();
         for place in &self.entries {
@@ -363,7 +363,7 @@
         columns(&rows, "  ")
     }
 
-    /// Who votes by the newest list stored.
+    /// Returns who votes by the newest list stored.
     fn voters(&self) -> Vec<NodeId> {
         let stored = &self.found.stored;
         let listed = stored.entries.iter().rev().find_map(|e| match &e.payload {
--- a/crates/gateway/src/commands/views.rs
+++ b/crates/gateway/src/commands/views.rs
@@ -64,7 +64,7 @@
     NoReader,
 }
 
-/// Asks all at once and prints the views in the order of the addresses.
+/// Fetches all views at once and prints them in the order of the addresses.
 async fn print_views(options: &Options) -> Printed {
     let fetches: Vec<_> = options
         .addresses
--- a/crates/gateway/src/controller/endpoint_discovery.rs
+++ b/crates/gateway/src/controller/endpoint_discovery.rs
@@ -129,6 +129,7 @@
     }
 }
 
+/// Whether the version that a service runs is known.
 fn has_version(controller: &Controller, service: &str) -> bool {
     let state = controller.state();
     state
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -21,40 +21,44 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 
-/// Between two looks at the file.
+/// The file is read this often.
 const LOOK_INTERVAL: Micros = 1_000_000;
-/// A text that is new is looked at again after this.
+/// A new text is read again after this.
 const CONFIRM_INTERVAL: Micros = 150_000;
 
-/// The settings in force, for parts that go along with them: `borrow` tells, `changed` waits.
+/// The settings in force: `borrow` returns them, `changed` waits for a change.
 pub type SettingsWatch = watch::Receiver<Arc<NodeSettings>>;
 
-/// What a look at the file found.
+/// What reading the file has found.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Look {
     /// Nothing new.
     Same,
-    /// A text not seen before; it is taken if the next look finds it again.
+    /// A new text; it is accepted if it is the same at the next reading.
     New,
     /// New settings, and the names of fields that would need a restart to take effect.
     Accepted(Arc<NodeSettings>, Vec<&'static str>),
-    /// What is wrong; not told again until the file changes.
+    /// What is wrong; returned once until the file changes.
     Rejected(String),
 }
 
-/// Watches the settings file. It owns no clock: each call of [`Watcher::look`] is one look.
+/// Watches the settings file. It has no clock: each call of [`Watcher::look`] reads the file once.
 pub struct Watcher {
     path: PathBuf,
-    /// What holds.
+    /// The settings in force.
     settings: Arc<NodeSettings>,
-    /// The text that was decided last, whether it was taken or not; none: it could not be read.
+    /// The text that was accepted or rejected last; none: it could not be read.
     decided: Option<String>,
-    /// The text of the last look.
+    /// The text at the last reading.
     seen: Option<String>,
 }
 
 impl Watcher {
-    /// Reads the file for the first time; all that is wrong with it is returned.
+    /// Reads the file for the first time.
+    ///
+    /// # Errors
+    ///
+    /// If it can't be read or is wrong; all that is wrong is returned.
     pub fn open(path: PathBuf) -> Result<Watcher, Vec<String>> {
         let text = std::fs::read_to_string(&path).map_err(|e| vec![unreadable(&path, &e)])?;
         let settings = NodeSettings::parse(&text).map_err(|wrong| {
@@ -76,7 +80,7 @@
         &self.settings
     }
 
-    /// Looks at the file once.
+    /// Reads the file once and decides on its text.
     pub fn look(&mut self) -> Look {
         let read = std::fs::read_to_string(&self.path);
         let wrong = read.as_ref().err().map(|e| unreadable(&self.path, e));
@@ -118,7 +122,7 @@
     format!("{}: can't be read: {error}", path.display())
 }
 
-/// What is told, where it can take effect while the program runs; the rest as it started_with.
+/// Returns the new settings, where they can take effect while the program runs; the rest as at the start.
 fn merge(started_with: &NodeSettings, new: NodeSettings) -> NodeSettings {
     NodeSettings {
         controller_seeds: new.controller_seeds,
@@ -131,7 +135,7 @@
     }
 }
 
-/// Names of changed fields that would need a restart.
+/// Returns the names of changed fields that need a restart.
 fn needing_restart(started_with: &NodeSettings, new: &NodeSettings) -> Vec<&'static str> {
     let changed = [
         ("self.node", started_with.node != new.node),
@@ -160,7 +164,7 @@
             started_with.listen_addresses != new.listen_addresses,
         ),
     ];
-    // `first_run` is meant to change: it says how the system started_with.
+    // `first_run` is meant to change: it says how the system began.
     changed
         .into_iter()
         .filter(|(_, changed)| *changed)
@@ -168,8 +172,8 @@
         .collect()
 }
 
-/// Watches the file for as long as the process lives; the settings in force, always. To be called inside the runtime:
-/// from here on SIGHUP no longer ends the process.
+/// Watches the file for as long as the process runs. Returns the settings in force, now and later. To be called inside the
+/// runtime: from here on SIGHUP no longer ends the process.
 pub fn watch(watcher: Watcher) -> io::Result<SettingsWatch> {
     let mut hang_up = signal(SignalKind::hangup())?;
     let (sender, receiver) = watch::channel(watcher.settings().clone());
--- a/crates/gateway/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -1,4 +1,4 @@
-//! A counter's first contact, with real processes on loopback: what makes it ready, and whose messages it takes.
+//! A proxy's session with a leader, with real processes on loopback: what makes it ready, and whose messages it accepts.
 
 use magpieline_control_plane::delta;
 use magpieline_control_plane::messages::{
--- a/crates/gateway/tests/operator_api.rs
+++ b/crates/gateway/tests/operator_api.rs
@@ -1,4 +1,4 @@
-//! Operators' calls to three sorting machines, real processes on loopback: one document under a number and one order once,
+//! Operators' calls to three controllers, real processes on loopback: one document under a number and one order once,
 //! whichever machine is asked and whoever leads.
 
 use std::io::{Read, Write};
--- a/crates/http1/src/framing/head.rs
+++ b/crates/http1/src/framing/head.rs
@@ -37,7 +37,7 @@
         }
         // Lengths first: most lines are none of these.
         match name.len() {
-            10 if name.eq_ignore_ascii_case(b"connection") => self.add_connection(value),
+            10 if name.eq_ignore_ascii_case(b"connection") => self.add_connection_options(value),
             14 if name.eq_ignore_ascii_case(b"content-length") => {
                 self.add_content_length(value)?;
             }
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    fn add_connection(&mut self, value: &[u8]) {
+    fn add_connection_options(&mut self, value: &[u8]) {
         for option in value.split(|byte| *byte == b',').map(trim) {
             self.close |= option.eq_ignore_ascii_case(b"close");
             self.keep_alive |= option.eq_ignore_ascii_case(b"keep-alive");
--- a/crates/http1/src/framing/lines.rs
+++ b/crates/http1/src/framing/lines.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns what a client is told of it.
+    /// Returns the text that a client is answered with.
     pub fn text(self) -> &'static str {
         match self {
             FramingError::StartLine => "The request line is not METHOD TARGET HTTP/1.1.",
--- a/tools/proxy-simulation/src/memory_stream.rs
+++ b/tools/proxy-simulation/src/memory_stream.rs
@@ -257,7 +257,7 @@
         connection.directions[side].is_reader_gone = true;
         connection.directions[1 - side].is_closed = true;
         if behind_close {
-            // A close over behind_close bytes is a reset, and what was on its direction may be lost with it.
+            // A close over unread bytes is a reset, and what was in flight may be lost with it.
             connection.directions[1 - side].bytes.clear();
             connection.reset_side(1 - side);
         }
--- a/tools/proxy-simulation/src/simulation.rs
+++ b/tools/proxy-simulation/src/simulation.rs
@@ -118,6 +118,7 @@
         .block_on(run(seed, changes_versions))
 }
 
+/// Runs a seed: sets the world up, lets clients send until they are done, and checks what was seen.
 async fn run(seed: u64, changes_versions: bool) -> Summary {
     let mut rng = rng(seed);
     let scenario = Scenario::draw(&mut rng, seed.is_multiple_of(2));
--- a/tools/raft-simulation/src/bounded_losses.rs
+++ b/tools/raft-simulation/src/bounded_losses.rs
@@ -10,27 +10,27 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Somebody leads again within this.
+/// There is a leader again within this.
 const MAX_TIME_WITHOUT_LEADER: Micros = 5 * SECOND;
 /// Machines that one run may bring up beside the first ones: all spare ones of a large deployment, and some.
 const MAX_ADDED: usize = 9;
 /// The longest pause between two looks whether something may be lost.
 const PAUSE: Micros = 400 * MILLI;
 
-/// How a machine is at the moment.
+/// The state of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Health {
     /// Up since then.
     Up(Micros),
     /// Down, frozen, slowed, cut off, or its disk in trouble.
     Lost,
-    /// It has got SIGTERM, and is to start again or not; SIGKILL comes then.
+    /// It has received SIGTERM, and is to start again or not; SIGKILL comes then.
     Leaving { again: bool, ends: Micros },
     /// For good.
     Gone,
 }
 
-/// What is to happen.
+/// What is scheduled.
 #[derive(Clone, Copy, Debug)]
 enum Due {
     Back(usize),
@@ -38,16 +38,16 @@
     Successor(usize),
 }
 
-/// The account of a run's losses.
+/// The losses of a run, past and scheduled.
 pub(crate) struct FailureSchedule {
     rng: ChaCha8Rng,
     health: Vec<Health>,
-    /// Who takes whose place.
+    /// The machines that replace others.
     successor: BTreeMap<usize, usize>,
     ahead: BTreeMap<(Micros, u64), Due>,
     order: u64,
     next_at: Micros,
-    /// Since when no more is lost than is to be borne, and when somebody last led.
+    /// Since when no more is lost than is tolerated, and when there was a leader last.
     within_tolerance_since: Option<Micros>,
     led_at: Micros,
 }
@@ -58,7 +58,7 @@
         self.ahead.insert((at, self.order), due);
     }
 
-    /// As the operator's list has them: two others that serve, or did just now, and one that may be gone.
+    /// Returns seeds as an operator's list has them: two others that serve, or did just now, and one that may be gone.
     fn seeds(&mut self, machine: usize, third: usize) -> Vec<SocketAddrV4> {
         let serving = |other: &usize| *other != machine && self.health[*other] != Health::Gone;
         let mut serving: Vec<usize> = (0..self.health.len()).filter(serving).collect();
@@ -80,7 +80,7 @@
         }
     }
 
-    /// How many machines count as lost. One that leaves for good, or is gone, counts until its successor, or that one's,
+    /// Counts the machines that are lost. One that leaves for good, or is gone, counts until its successor, or that one's,
     /// has had its time; the two together count once.
     fn count(&self, now: Micros, recovery_interval: Micros) -> usize {
         let machines = 0..self.health.len();
@@ -100,8 +100,9 @@
 }
 
 impl Cluster {
-    /// Loses machines as `tolerated_failures` and `recovery_interval` allow, with clients calling, for so many steps; then all are back, and
-    /// all that was acknowledged is there. Panics if not, or if nobody led when somebody should have.
+    /// Loses machines as `tolerated_failures` and `recovery_interval` allow, with clients calling, for so many steps; then
+    /// repairs all and checks that everything acknowledged is there. Panics if not, or if there was no leader when there
+    /// should have been one.
     pub fn run_with_bounded_failures(&mut self, seed: u64, steps: u64) {
         self.run_for(self.simulator.recovery_interval);
         let now = self.simulator.now();
@@ -173,7 +174,7 @@
         );
     }
 
-    /// Those that have left, or whose time to do so is over.
+    /// Ends the processes that have shut down, or whose time to do so is over.
     fn finish_shutdowns(&mut self, schedule: &mut FailureSchedule) {
         let now = self.simulator.now();
         for machine in 0..schedule.health.len() {
@@ -248,7 +249,7 @@
         }
     }
 
-    /// A successor starts, with seeds of that moment, and the one that it succeeds among them.
+    /// Starts a successor, with seeds of that moment, and the machine that it replaces among them.
     fn succeed(&mut self, schedule: &mut FailureSchedule, of: usize) {
         if schedule.successor.contains_key(&of) {
             return;
@@ -264,7 +265,7 @@
             .for_each(|cut| self.cut_off(cut, true, true));
     }
 
-    /// Loses something, if that may be lost now.
+    /// Loses a machine at random, if it may be lost now.
     fn lose(&mut self, schedule: &mut FailureSchedule) {
         let (now, recovery_interval) = (self.simulator.now(), self.simulator.recovery_interval);
         let machine = schedule.rng.gen_range(0..schedule.health.len());
@@ -417,7 +418,7 @@
         self.record_fault(Fault::Decommission(machine));
     }
 
-    /// All processes end at once, or all power goes; as many as may still be lost lose their disks.
+    /// Ends all processes at once, as by a loss of power; as many disks are lost as may still be.
     fn lose_all(&mut self, schedule: &mut FailureSchedule, room: usize) {
         let now = self.simulator.now();
         let mut room = room;
--- a/tools/raft-simulation/src/cluster.rs
+++ b/tools/raft-simulation/src/cluster.rs
@@ -501,7 +501,7 @@
         }
     }
 
-    /// After all is mended: a leader, every machine a voter, everything acknowledged read back, and then quiet.
+    /// After all is repaired: a leader, every machine a voter, everything acknowledged read back, and then quiet.
     pub(crate) fn recover(&mut self) {
         for machine in (0..self.simulator.machines())
             .filter(|machine| !self.removed.contains(machine))
--- a/tools/raft-simulation/src/fault_injection.rs
+++ b/tools/raft-simulation/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Things break by chance, and are mended again.
+//! Faults at random, and their repair.
 
 use crate::{DiskFault, Micros, NetworkProfile, Observer, Process, Simulator, MILLI, SECOND};
 use rand::seq::SliceRandom;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Breaks it now and plans when it is mended. `Add` is the caller's.
+    /// Injects a fault now and schedules its repair. `AddNode` is the caller's.
     pub fn inject<N: Process>(&mut self, simulator: &mut Simulator<N>, fault: Fault) {
         let all = 0..simulator.machines();
         match fault {
@@ -250,5 +250,5 @@
     }
 }
 
-/// How long a run may take to stand again once all is mended.
+/// How long a run may take to recover once all is repaired.
 pub(crate) const RECOVERY: Micros = 12 * SECOND;
--- a/tools/raft-simulation/src/long_run.rs
+++ b/tools/raft-simulation/src/long_run.rs
@@ -24,11 +24,11 @@
     pub rate: Option<u64>,
     /// How many changes are made.
     pub changes: u64,
-    /// Of a configuration, in bytes.
+    /// Bytes of a configuration.
     pub size: usize,
-    /// Between two changes, at least.
+    /// The time between two changes, at least.
     pub pause: Micros,
-    /// A machine is up again within this time after its trouble, though the changes go on.
+    /// A machine is up again within this time after its disruption, though the changes go on.
     pub recovery_interval: Micros,
 }
 
@@ -47,7 +47,7 @@
     Cut,
     /// Its disk is in trouble.
     Disk(DiskFault),
-    /// The leader, while a machine that lost its disk is being filled.
+    /// The leader steps down while a machine that lost its disk is being filled.
     LeaderWhileFilled,
     /// Nothing reaches it for a moment while it is being filled: all that is on its way is lost.
     CutWhileFilled,
@@ -66,7 +66,7 @@
     Disruption::CutWhileFilled,
 ];
 
-/// What came of a run.
+/// How a run went.
 #[derive(Clone, Debug, Default)]
 pub struct LongRunSummary {
     /// The highest version that was acknowledged.
@@ -75,33 +75,33 @@
     pub disruptions: u64,
     /// How many corrupt stores were quarantined.
     pub quarantined: u64,
-    /// How long machines recovery_times to be up again, by trial: each in microseconds.
+    /// How long machines took to be up again, by disruption, in microseconds.
     pub recovery_times: Vec<(Disruption, Micros)>,
-    /// The most bytes that one machine's files recovery_times.
+    /// The most bytes that one machine's files took.
     pub max_disk_bytes: u64,
     /// Terms in which somebody led.
     pub terms: u64,
-    /// The longest time that a change recovery_times until it was acknowledged.
+    /// The longest time that a change took until it was acknowledged.
     pub longest_change: Micros,
 }
 
-/// Machines, and changes that come to them.
+/// A run: controllers, and changes that are sent to them.
 pub struct LongRun {
     /// What the controllers run on.
     pub simulator: Simulator<StoreNode>,
     config: LongRunConfig,
     checks: StoreChecks,
     rng: ChaCha8Rng,
-    /// The change under way: its request_id, when it was first asked, and when last.
+    /// The change in progress: its request, when it was first sent, and when last.
     pending: Option<(u64, Micros, Micros)>,
     request_ids: u64,
     next_at: Micros,
     longest_change: Micros,
-    /// Of the newest document.
+    /// The routes of the newest configuration.
     routes: Vec<String>,
 }
 
-/// A route as operators send it, with names drawn by lot.
+/// Draws a route as operators send it.
 fn route(rng: &mut ChaCha8Rng) -> String {
     let mut name = || -> String {
         (0..7)
@@ -116,9 +116,9 @@
     )
 }
 
-/// Founders named to all at the first start.
+/// Machines that are named to all at the first start.
 const SEEDS: usize = 3;
-/// Operators ask again after a second of silence.
+/// Operators repeat a change after a second without a response.
 const RETRY_INTERVAL: Micros = SECOND;
 
 impl LongRun {
@@ -160,7 +160,7 @@
         })
     }
 
-    /// It votes, and has applied what was acknowledged a second ago or the change before the newest.
+    /// Whether it votes, and has applied at least the change before the newest.
     fn is_up(&self, machine: usize) -> bool {
         let Some(leader) = self.leader() else {
             return false;
@@ -175,7 +175,7 @@
                 .as_ref()
                 .map_or(0, |config| config.version)
         };
-        // A node_id counts once the list that has it is in force: until then the machine is one of those that are lost.
+        // A voter counts once the list that has it is committed: until then the machine is one of those that are lost.
         let votes = led.raft().voters().contains(&node.raft().id())
             && led.raft().previous_voters().is_none();
         votes && !self.simulator.is_frozen(machine) && held(node) + 1 >= held(led)
@@ -202,7 +202,7 @@
         })
     }
 
-    /// The next change, or the one under way again, if it is time.
+    /// Sends the next change, or the one in progress again, if it is time.
     fn send_change(&mut self) {
         let now = self.simulator.now();
         let begun = match self.pending {
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Loses for a moment all that is sent to a machine that is being filled.
+    /// Drops for a moment all that is sent to a machine that is being filled.
     fn cut_while_filled(&mut self, machine: usize) {
         let soon = self.rng.gen_range(MILLI..100 * MILLI);
         self.run_until(soon, |_| false);
--- a/tools/raft-simulation/src/main.rs
+++ b/tools/raft-simulation/src/main.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// One seed after the other; the first failure ends it.
+/// Runs one seed after the other and prints what came of each; the first failure ends the program.
 fn run_long(options: &LongRunOptions) {
     for seed in options.seeds.clone() {
         let run = LongRun::new(LongRunConfig {
@@ -161,19 +161,19 @@
             recovery_times,
         } = run;
         println!(
-            "seed {seed}: {acknowledged} changes, {disruptions} trials, {quarantined} set aside, {terms} terms, most on disk {} MB, \
+            "seed {seed}: {acknowledged} changes, {disruptions} disruptions, {quarantined} quarantined, {terms} terms, most on disk {} MB, \
             longest change {} ms",
             max_disk_bytes >> 20,
             longest_change / MILLI
         );
-        let mut by_trial: BTreeMap<String, Vec<Micros>> = BTreeMap::new();
+        let mut by_disruption: BTreeMap<String, Vec<Micros>> = BTreeMap::new();
         for (disruption, recovery_time) in recovery_times {
-            by_trial
+            by_disruption
                 .entry(format!("{disruption:?}"))
                 .or_default()
                 .push(recovery_time / MILLI);
         }
-        for (disruption, mut times) in by_trial {
+        for (disruption, mut times) in by_disruption {
             times.sort_unstable();
             let (half, most) = (times[times.len() / 2], times[times.len() - 1]);
             println!(
--- a/tools/raft-simulation/src/operator_workload.rs
+++ b/tools/raft-simulation/src/operator_workload.rs
@@ -32,10 +32,10 @@
 /// A wiped controller is back within three seconds, and has what it needs some seconds after.
 const MIN_WIPE_INTERVAL: Micros = 8 * SECOND;
 const SERVICES: [&str; 2] = ["alpha", "beta"];
-/// A time of no particular length.
+/// The time that rollouts may take.
 const WITHIN: u64 = 12 * SECOND;
 
-/// What an operator wants done, in one call or several copies of it.
+/// What an operator asks for, in one call or several copies of it.
 struct Order {
     request: OperatorRequest,
     first_sent: Micros,
@@ -54,7 +54,7 @@
     sent: Micros,
     redirects: u32,
     response: Option<(Micros, OperatorResponse)>,
-    /// The operator still waits.
+    /// Whether the operator still waits.
     open: bool,
 }
 
@@ -252,7 +252,7 @@
         self.injector.inject(&mut self.simulator, fault);
     }
 
-    /// Only while all machines run and vote by one list that is in force, by what they know and by what they would know
+    /// Whether a disk may be lost: only while all machines run and vote by one list that is committed, by what they know and by what they would know
     /// after a loss of power, and have the same log: so that one lost disk is all that is lost.
     fn may_wipe(&self, machine: usize) -> bool {
         let nodes: Vec<&OperatorNode> = (0..self.machines)
--- a/tools/raft-simulation/src/operator_workload/history.rs
+++ b/tools/raft-simulation/src/operator_workload/history.rs
@@ -146,7 +146,7 @@
         calls
     }
 
-    /// One rollout of a service at a time, and each ends before the next begins.
+    /// Checks that a service has one rollout at a time, and each ends before the next begins.
     fn check_one_rollout_at_a_time(&self, of: &str) {
         let mut active = None;
         for (index, (command, effect, _)) in &self.checks.log {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// No order ran twice, and none that was acknowledged was passed over: of each content, as many rollouts began by any
+    /// Checks that no order was executed twice, and none that was acknowledged was dropped: of each content, as many rollouts began by any
     /// moment as orders were sent by then at most; and for each acknowledged order there is an entry of its own time that
     /// took it.
     fn check_executions(&self, service: &str) {
--- a/tools/raft-simulation/src/simulator.rs
+++ b/tools/raft-simulation/src/simulator.rs
@@ -1,4 +1,4 @@
-//! Machines, their links, disks and clocks.
+//! A simulated world: machines, their network links, disks and clocks.
 
 use crate::{Micros, MILLI, SECOND};
 use rand::{Rng, SeedableRng};
@@ -19,7 +19,7 @@
     pub seed: u64,
     /// The machine's time of day at the start, microseconds since 1970.
     pub time_of_day: Micros,
-    /// How many machines may be lost at once, and how long after its return a machine still counts as lost.
+    /// How many machines may be lost at once.
     pub tolerated_failures: usize,
     /// How long after its return a machine still counts as lost.
     pub recovery_interval: Micros,
@@ -53,7 +53,7 @@
     Call(N::Call),
 }
 
-/// What a node does.
+/// What a process does.
 pub enum Effect<N: Process> {
     /// It sends a message.
     Send {
@@ -62,18 +62,18 @@
         /// The message.
         message: N::Message,
     },
-    /// One at a time.
+    /// It writes to its disk, one write at a time.
     Write {
         /// Tells writes apart.
         serial: u64,
         /// What is written.
         write: N::Write,
     },
-    /// For the one who watches.
+    /// It shows something to the observer.
     Observation(N::Observation),
 }
 
-/// A core that runs on a machine: no I/O, no clock.
+/// A state machine that runs on a machine: no I/O, no clock.
 pub trait Process: Sized {
     /// What processes send to each other.
     type Message: Clone;
@@ -101,9 +101,9 @@
     }
 }
 
-/// Who looks on; panics when something is wrong.
+/// Observes a run and checks it; panics when something is wrong.
 pub trait Observer<N: Process> {
-    /// `machine` sends a message; `disk` is what would survive a loss of power just then.
+    /// A process sends a message; `disk` is what would survive a loss of power just then.
     fn sent(&mut self, _machine: usize, _disk: &N::Disk, _message: &N::Message) {}
     /// A process has shown something.
     fn observed(&mut self, _machine: usize, _observation: N::Observation) {}
@@ -111,10 +111,10 @@
     fn after_step(&mut self, _machine: usize, _node: &N) {}
 }
 
-/// How a disk does.
+/// What is wrong with a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
-    /// It works.
+    /// Nothing.
     None,
     /// Thirty times its usual time.
     Slow,
@@ -124,14 +124,14 @@
     Full,
 }
 
-/// The network's manners, for all links.
+/// How the network behaves, on all links.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkProfile {
     /// The delay of each message.
     pub delay: Micros,
     /// Up to so much is added to the delay of each message, so that they overtake one another.
     pub jitter: Micros,
-    /// Of a thousand messages, so many are lost, and so many come twice.
+    /// Of a thousand messages, so many are lost.
     pub lost: u32,
     /// Of a thousand messages, so many come twice.
     pub doubled: u32,
@@ -159,7 +159,7 @@
 struct Machine<N: Process> {
     boot: BootOptions,
     node: Option<N>,
-    /// Counts starts: what was for an earlier process does not reach this one.
+    /// Counts starts: what was meant for an earlier process does not reach this one.
     starts: u64,
     /// What came while frozen.
     inbox: Option<Vec<Input<N>>>,
@@ -171,9 +171,9 @@
     sent_at: Micros,
     /// Steps in a row after which it wanted to be woken at once.
     overdue: u32,
-    /// What is added to the delay of every message, up to: a machine short of processor time.
+    /// Up to so much is added to the delay of every message: the machine is short of processor time.
     lag: Micros,
-    /// The steady clock: its start, and how many millionths too fast.
+    /// The monotonic clock: its start, and how many millionths it is too fast.
     clock: (Micros, u64),
 }
 
@@ -191,7 +191,7 @@
     },
 }
 
-/// All of it.
+/// The simulated world.
 pub struct Simulator<N: Process> {
     now: Micros,
     rng: ChaCha8Rng,
@@ -212,7 +212,7 @@
     pub recovery_interval: Micros,
 }
 
-/// Where a machine is.
+/// Returns the address of a machine.
 pub fn address(machine: usize) -> SocketAddrV4 {
     SocketAddrV4::new(
         [10, 1, (machine / 200) as u8, (machine % 200) as u8 + 1].into(),
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Puts a machine up, not yet started.
+    /// Adds a machine, not yet started. Returns its number.
     pub fn add(&mut self, seeds: Vec<SocketAddrV4>, first_run: bool) -> usize {
         let (tolerated_failures, recovery_interval) =
             (self.tolerated_failures, self.recovery_interval);
@@ -285,17 +285,17 @@
         self.machines.len()
     }
 
-    /// Messages sent so far.
+    /// Returns how many messages were sent so far.
     pub fn messages(&self) -> u64 {
         self.messages
     }
 
-    /// Steps of nodes so far.
+    /// Returns how many steps processes have taken so far.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// The process on the machine, frozen or not.
+    /// Returns the process on a machine, frozen or not.
     pub fn node(&self, machine: usize) -> Option<&N> {
         self.machines[machine].node.as_ref()
     }
@@ -315,7 +315,7 @@
         &self.machines[machine].boot
     }
 
-    /// Messages that may still reach somebody.
+    /// Returns the messages that may still be received.
     pub fn in_flight(&self) -> impl Iterator<Item = &N::Message> {
         let travelling = self.schedule.values().filter_map(|what| match what {
             SimulatedEvent::Deliver { message, .. } => Some(message),
@@ -331,12 +331,12 @@
         }))
     }
 
-    /// How long its link is still busy with what was given to it.
+    /// Returns how long a machine's link is still busy with what it has to send.
     pub fn backlog(&self, machine: usize) -> Micros {
         self.machines[machine].sent_at.saturating_sub(self.now)
     }
 
-    /// What the machine's steady clock shows.
+    /// Returns what a machine's monotonic clock shows.
     pub fn clock(&self, machine: usize) -> Micros {
         let (start, fast) = self.machines[machine].clock;
         start + self.now + (u128::from(self.now) * u128::from(fast) / 1_000_000) as u64
@@ -369,7 +369,7 @@
         self.perform(machine, effects, observer);
     }
 
-    /// From the next start of each on, so many may be lost at once.
+    /// Sets how many machines may be lost at once, from the next start of each on.
     pub fn set_tolerated_failures(&mut self, tolerated_failures: usize) {
         self.tolerated_failures = tolerated_failures;
         self.machines
@@ -377,13 +377,13 @@
             .for_each(|machine| machine.boot.tolerated_failures = tolerated_failures);
     }
 
-    /// From the next start on, and `first_run` is over.
+    /// Sets a machine's seeds from its next start on, which is not its first.
     pub fn set_seeds(&mut self, machine: usize, seeds: Vec<SocketAddrV4>) {
         self.machines[machine].boot.seeds = seeds;
         self.machines[machine].boot.first_run = false;
     }
 
-    /// The process ends, or the power: what was synced stays, the write under way is there or not.
+    /// Ends a process, as by a kill or a loss of power: what was synced stays, the write in progress is there or not.
     pub fn kill(&mut self, machine: usize) {
         let written = self.rng.gen();
         let this = &mut self.machines[machine];
@@ -424,7 +424,7 @@
         self.machines[machine].lag = lag;
     }
 
-    /// Nothing passes from one to the other; the other way is another link.
+    /// Cuts the link from one machine to another; the opposite direction is a link of its own.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cuts.insert((from, to));
     }
@@ -461,17 +461,17 @@
         );
     }
 
-    /// Somebody on the machine calls its process; nothing happens if it does not run.
+    /// Calls the process on a machine; nothing happens if it does not run.
     pub fn call(&mut self, machine: usize, call: N::Call, observer: &mut impl Observer<N>) {
         self.deliver(machine, Input::Call(call), observer);
     }
 
-    /// When something happens next.
+    /// Returns when something happens next.
     pub fn next_at(&self) -> Option<Micros> {
         self.schedule.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Time passes, with nothing happening.
+    /// Lets time pass, with nothing happening.
     pub fn pass(&mut self, until: Micros) {
         assert!(
             self.next_at().is_none_or(|at| at >= until),
@@ -480,7 +480,7 @@
         self.now = self.now.max(until);
     }
 
-    /// The next thing happens.
+    /// Lets the next thing happen.
     pub fn step(&mut self, observer: &mut impl Observer<N>) {
         let Some(((at, _), what)) = self.schedule.pop_first() else {
             return;
--- a/tools/raft-simulation/tests/directed.rs
+++ b/tools/raft-simulation/tests/directed.rs
@@ -317,7 +317,7 @@
 }
 
 /// Guards against seats that are kept for machines that nobody replaces: of five voters, where one is to be borne, two
-/// that are silent are taken out together, so that one more may go. When they are back they wait for a node_id.
+/// that are silent are taken out together, so that one more may go. When they are back they wait to vote.
 #[test]
 fn two_voters_gone_are_taken_out_where_enough_stay() {
     let mut cluster = grown(5, 16);
@@ -341,7 +341,7 @@
     assert_eq!(voters(&cluster).len(), 3);
 }
 
-/// Guards against voters beyond those needed: machines that came early wait for a node_id, so that neither their loss nor
+/// Guards against voters beyond those needed: machines that came early wait to vote, so that neither their loss nor
 /// that of the machines which they succeed costs more than one vote.
 #[test]
 fn machines_beyond_those_needed_wait() {
--- a/tools/raft-simulation/tests/replaced.rs
+++ b/tools/raft-simulation/tests/replaced.rs
@@ -100,7 +100,7 @@
     assert_eq!(voters(&cluster), before);
 }
 
-/// Guards the node_id of a machine that stops while one waits: it is the other's before the process ends.
+/// Guards the vote of a machine that stops while a learner waits: it is the learner's before the process ends.
 #[rstest]
 fn a_seat_is_handed_on_before_the_end(
     #[values(3, 5)] machines: usize,
--- a/tools/scale-test/src/main.rs
+++ b/tools/scale-test/src/main.rs
@@ -14,7 +14,10 @@
 use magpieline_control_plane::proxy_registry::ProxyRegistry;
 use magpieline_control_plane::state_machine::{Command, StoredConfig};
 use std::collections::VecDeque;
-use std::sync::Arc;
+use texts::{ListedEndpoint, Texts};
+
+/// A leader sends a heartbeat to each proxy this often, in seconds.
+const HEARTBEAT_INTERVAL_S: f64 = 0.3;
 
 #[derive(Options)]
 struct Arguments {
@@ -58,15 +61,15 @@
 
 /// Runs a part so many times and prints the median of what it took.
 fn measure<T>(name: &str, times: usize, mut run: impl FnMut() -> T) -> T {
-    let (mut all, mut made) = (Vec::new(), None);
+    let (mut spent, mut result) = (Vec::new(), None);
     for _ in 0..times {
-        let began = processor_ms();
-        made = Some(run());
-        all.push(processor_ms() - began);
+        let started = processor_ms();
+        result = Some(run());
+        spent.push(processor_ms() - started);
     }
-    all.sort_by(f64::total_cmp);
-    println!("{name:<66} {:>10.3} ms", all[times / 2]);
-    made.expect("run at least once")
+    spent.sort_by(f64::total_cmp);
+    println!("{name:<66} {:>10.3} ms", spent[times / 2]);
+    result.expect("run at least once")
 }
 
 fn print_value(name: &str, value: f64, unit: &str) {
@@ -90,8 +93,8 @@
     current: Option<&StoredConfig>,
     events: Vec<Event>,
 ) -> Distribution {
-    let (mut distribution, mut next): (Distribution, VecDeque<Event>) =
-        (Distribution::default(), events.into());
+    let mut distribution = Distribution::default();
+    let mut next: VecDeque<Event> = events.into();
     let mut now = 0;
     while let Some(event) = next.pop_front() {
         now += 10;
@@ -111,7 +114,7 @@
                 ..
             })) = decode_frame::<Fenced<ControllerMessage>>(&mut frame.to_vec())
             else {
-                panic!("a piece was sent")
+                panic!("a chunk was sent")
             };
             next.push_back(match receivers[session as usize].receive(current, &chunk) {
                 Received::Incomplete(received) => Event::ChunkReceived {
@@ -153,192 +156,200 @@
     );
 }
 
-fn fenced(update: EndpointUpdate) -> Fenced<ControllerMessage> {
-    Fenced {
-        term: 1,
-        message: ControllerMessage::Endpoints(update),
-    }
+/// The configurations that are sent.
+struct Configs {
+    first: StoredConfig,
+    /// The first one with a few routes added and altered.
+    changed: StoredConfig,
+    /// The changed one with a tenth more routes.
+    grown: StoredConfig,
 }
 
-fn main() {
-    let arguments = Arguments::parse_args_default_or_exit();
-    let texts = texts::Texts::new(arguments.services);
-    let mut routes = texts.routes(1, arguments.routes);
-    let text =
-        |number, routes: &[String]| -> Arc<str> { texts.configuration(number, routes).into() };
-    let first = StoredConfig {
-        version: 1,
-        text: text(1, &routes),
-    };
-    for i in 0..arguments.change {
-        routes[i * 7] = routes[i * 7].replace("\"tries\":2", "\"tries\":3");
+impl Configs {
+    fn new(arguments: &Arguments, texts: &Texts) -> Configs {
+        let stored = |version, routes: &[String]| StoredConfig {
+            version,
+            text: texts.configuration(version, routes).into(),
+        };
+        let mut routes = texts.routes(1, arguments.routes);
+        let first = stored(1, &routes);
+        for i in 0..arguments.change {
+            routes[i * 7] = routes[i * 7].replace("\"tries\":2", "\"tries\":3");
+        }
+        routes.extend(texts.routes(2, arguments.change));
+        let changed = stored(2, &routes);
+        routes.extend(texts.routes(3, arguments.routes / 10));
+        let grown = stored(3, &routes);
+        Configs {
+            first,
+            changed,
+            grown,
+        }
     }
-    routes.extend(texts.routes(2, arguments.change));
-    let second = StoredConfig {
-        version: 2,
-        text: text(2, &routes),
-    };
-    print_value("configuration", second.text.len() as f64 / 1e3, "KB");
-    let large = text(3, &{
-        let mut large = routes.clone();
-        large.extend(texts.routes(3, arguments.routes / 10));
-        large
-    });
+}
 
+/// Measures what a controller does with a configuration.
+fn measure_controller(configs: &Configs) {
     println!("\na controller");
     let base = memory_mb();
     let before = measure("  reads a configuration after none", 1, || {
-        GatewayConfig::parse_after(&first.text, None).expect("sound")
+        GatewayConfig::parse_after(&configs.first.text, None).expect("valid")
     });
     print_value(
         "  memory after it, on top, at most",
         memory_mb() - base,
         "MB",
     );
-    let after = || GatewayConfig::parse_after(&second.text, Some(&before)).expect("sound");
+    let after = || GatewayConfig::parse_after(&configs.changed.text, Some(&before)).expect("valid");
     measure("  reads a change after the one before", 5, after);
     let command = measure("  packs it for the log", 5, || {
-        Command::ReplaceConfig(second.clone()).encode()
+        Command::ReplaceConfig(configs.changed.clone()).encode()
     });
+    let kilobytes = command.len() as f64 / 1e3;
     print_value(
         "  bytes in the log, and to each other machine",
-        command.len() as f64 / 1e3,
+        kilobytes,
         "KB",
     );
     measure("  reads it from the log", 5, || {
-        Command::decode(&command).expect("packed here")
+        Command::decode(&command).expect("encoded here")
     });
+}
 
+/// Measures how configurations reach all proxies.
+fn measure_distribution(configs: &Configs, proxies: usize) {
     println!("\nconfigurations");
-    let mut receivers: Vec<ConfigReceiver> = (0..arguments.proxies)
-        .map(|_| ConfigReceiver::default())
-        .collect();
+    let mut receivers: Vec<ConfigReceiver> =
+        (0..proxies).map(|_| ConfigReceiver::default()).collect();
+    let sessions = || 0..proxies as u64;
     let mut sender = ConfigSender::default();
-    sender.step(0, Event::NewConfig(first.clone()));
-    (0..arguments.proxies as u64).for_each(|session| {
-        _ = sender.step(
+    sender.step(0, Event::NewConfig(configs.first.clone()));
+    for session in sessions() {
+        sender.step(
             0,
             Event::Opened {
                 session,
                 version: 1,
             },
-        )
-    });
-    let change = distribute(
-        &mut sender,
-        &mut receivers,
-        Some(&first),
-        vec![Event::NewConfig(second.clone())],
-    );
-    print_distribution("a change", &change, arguments.proxies);
-    let large = StoredConfig {
-        version: 3,
-        text: large,
-    };
-    let grown = distribute(
-        &mut sender,
-        &mut receivers,
-        Some(&second),
-        vec![Event::NewConfig(large.clone())],
-    );
-    print_distribution("a tenth more routes", &grown, arguments.proxies);
-    let mut anew = ConfigSender::default();
-    anew.step(0, Event::NewConfig(large));
-    let opened = (0..arguments.proxies as u64)
+        );
+    }
+    let events = vec![Event::NewConfig(configs.changed.clone())];
+    let change = distribute(&mut sender, &mut receivers, Some(&configs.first), events);
+    print_distribution("a change", &change, proxies);
+    let events = vec![Event::NewConfig(configs.grown.clone())];
+    let grown = distribute(&mut sender, &mut receivers, Some(&configs.changed), events);
+    print_distribution("a tenth more routes", &grown, proxies);
+    let mut new_leader = ConfigSender::default();
+    new_leader.step(0, Event::NewConfig(configs.grown.clone()));
+    let opened = sessions()
         .map(|session| Event::Opened {
             session,
             version: 0,
         })
         .collect();
-    print_distribution(
-        "the whole",
-        &distribute(&mut anew, &mut receivers, None, opened),
-        arguments.proxies,
-    );
+    let full = distribute(&mut new_leader, &mut receivers, None, opened);
+    print_distribution("the whole", &full, proxies);
+    let megabytes = sender.memory_bytes() as f64 / 1e6;
     print_value(
         "  leader: memory of texts and what is told",
-        sender.memory_bytes() as f64 / 1e6,
+        megabytes,
         "MB",
     );
+}
 
-    println!("\nthe list of {} endpoints", arguments.endpoints);
-    let list = texts.endpoints(arguments.endpoints);
-    let whole = fenced(EndpointUpdate {
-        is_full: true,
-        endpoints: list.clone(),
-    });
-    let said = measure("  leader: the whole as a frame, once for all", 5, || {
-        encode_frame(&whole)
+fn endpoints_message(is_full: bool, endpoints: &[ListedEndpoint]) -> Fenced<ControllerMessage> {
+    Fenced {
+        term: 1,
+        message: ControllerMessage::Endpoints(EndpointUpdate {
+            is_full,
+            endpoints: endpoints.to_vec(),
+        }),
+    }
+}
+
+/// Measures how endpoints are sent to proxies.
+fn measure_endpoints(endpoints: &[ListedEndpoint]) {
+    println!("\nthe list of {} endpoints", endpoints.len());
+    let full = endpoints_message(true, endpoints);
+    let frame = measure("  leader: the whole as a frame, once for all", 5, || {
+        encode_frame(&full)
     });
     print_value(
         "  each proxy: bytes of the whole",
-        said.len() as f64 / 1e3,
+        frame.len() as f64 / 1e3,
         "KB",
     );
     measure("  each proxy: reads the whole", 5, || {
-        decode_frame::<Fenced<ControllerMessage>>(&mut said.clone()).expect("encoded here")
-    });
-    let some = fenced(EndpointUpdate {
-        is_full: false,
-        endpoints: list[..list.len().min(20)].to_vec(),
-    });
-    let said = measure("  leader: twenty that have changed, as a frame", 9, || {
-        encode_frame(&some)
+        decode_frame::<Fenced<ControllerMessage>>(&mut frame.clone()).expect("encoded here")
     });
+    let change = endpoints_message(false, &endpoints[..endpoints.len().min(20)]);
+    let name = "  leader: twenty that have changed, as a frame";
+    let frame = measure(name, 9, || encode_frame(&change));
     print_value(
         "  each proxy: bytes of twenty that have changed",
-        said.len() as f64,
+        frame.len() as f64,
         "bytes",
     );
+}
 
+/// Measures the proxies' reports, and the heartbeats to them.
+fn measure_reports(proxies: usize) {
     println!("\nreports");
     let mut registry = ProxyRegistry::default();
     registry.set_leadership(Some(1));
-    for session in 0..arguments.proxies as u64 {
-        let (node, zone) = (format!("proxy-{session}"), "zone".to_owned());
-        registry.register(
-            0,
-            session,
-            1,
-            &Hello {
-                node,
-                zone,
-                incarnation: 1,
-                config_version: 1,
-                term: 1,
-                sent_at: 0,
-            },
-        );
+    for session in 0..proxies as u64 {
+        let hello = Hello {
+            node: format!("proxy-{session}"),
+            zone: "zone".to_owned(),
+            incarnation: 1,
+            config_version: 1,
+            term: 1,
+            sent_at: 0,
+        };
+        registry.register(0, session, 1, &hello);
     }
+    let report = Report {
+        config_version: 2,
+        evidence: Vec::new(),
+        term: 1,
+        sent_at: 1,
+    };
     measure(
         "  leader: a report of each proxy (each sends two a second)",
         9,
         || {
-            for session in 0..arguments.proxies as u64 {
-                registry.on_report(
-                    1,
-                    session,
-                    Report {
-                        config_version: 2,
-                        evidence: Vec::new(),
-                        term: 1,
-                        sent_at: 1,
-                    },
-                );
+            for session in 0..proxies as u64 {
+                registry.on_report(1, session, report.clone());
             }
         },
     );
     let message = ControllerMessage::Heartbeat {
-        proxies: arguments.proxies as u32,
+        proxies: proxies as u32,
         confirmed_at: 1 << 40,
         config_version: 2,
     };
-    let beat = encode_frame(&Fenced { term: 1, message });
+    let heartbeat = encode_frame(&Fenced { term: 1, message });
+    let per_second = heartbeat.len() as f64 * proxies as f64 / HEARTBEAT_INTERVAL_S;
     print_value(
         "  leader: bytes of heartbeats, a second",
-        beat.len() as f64 * arguments.proxies as f64 / 0.3 / 1e3,
+        per_second / 1e3,
+        "KB",
+    );
+}
+
+fn main() {
+    let arguments = Arguments::parse_args_default_or_exit();
+    let texts = Texts::new(arguments.services);
+    let configs = Configs::new(&arguments, &texts);
+    print_value(
+        "configuration",
+        configs.changed.text.len() as f64 / 1e3,
         "KB",
     );
+    measure_controller(&configs);
+    measure_distribution(&configs, arguments.proxies);
+    measure_endpoints(&texts.endpoints(arguments.endpoints));
+    measure_reports(arguments.proxies);
     print_value(
         "\nmemory of this process, with all that is above",
         memory_mb(),
--- a/tools/scale-test/src/texts.rs
+++ b/tools/scale-test/src/texts.rs
@@ -6,6 +6,9 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
+/// An endpoint with its id, as in an update.
+pub type ListedEndpoint = (Arc<str>, Option<Endpoint>);
+
 /// Routes in one host's list.
 const ROUTES_OF_HOST: usize = 40;
 
@@ -70,7 +73,7 @@
     }
 
     /// Endpoints with their ids.
-    pub fn endpoints(&self, count: usize) -> Vec<(Arc<str>, Option<Endpoint>)> {
+    pub fn endpoints(&self, count: usize) -> Vec<ListedEndpoint> {
         let mut rng = ChaCha8Rng::seed_from_u64(9);
         let names: Vec<Arc<str>> = self.services.iter().map(|s| s.as_str().into()).collect();
         let (zones, version): (Vec<Arc<str>>, Arc<str>) = (
