--- a/examples/gateway/clients.rs
+++ b/examples/gateway/clients.rs
@@ -30,7 +30,7 @@
 pub struct Load {
     #[options(help = "prints this")]
     help: bool,
-    #[options(free, required, help = "the counters' front addresses")]
+    #[options(free, required, help = "the proxies' addresses for clients")]
     fronts: Vec<SocketAddr>,
     #[options(help = "requests a second, of all clients", default = "80")]
     per_s: f64,
--- a/examples/gateway/main.rs
+++ b/examples/gateway/main.rs
@@ -3,7 +3,7 @@
 //!
 //! - `platform`: serves the list of appliances, runs the appliances, and takes the calls below
 //! - `start`, `stop`, `tally`: calls to it
-//! - `clients`: requests to the counters, with a line every two seconds
+//! - `clients`: requests to the proxies, with a line every two seconds
 
 mod appliance;
 mod clients;
--- a/examples/gateway/run.sh
+++ b/examples/gateway/run.sh
@@ -169,7 +169,7 @@
 
 say "A proxy's settings change: SIGHUP, no restart"
 sed -i 's/^retry_slack.*/retry_slack = 30/' "$work/proxy-1.toml"
-kill -HUP "$pid_counter_1"
+kill -HUP "$pid_proxy_1"
 until_seen 'settings: ' cat "$work/proxy-1.log"
 grep 'settings: ' "$work/proxy-1.log"
 
