--- a/crates/control-plane/src/state_machine.rs
+++ b/crates/control-plane/src/state_machine.rs
@@ -216,10 +216,9 @@
                 target_version,
                 within,
             } => {
-                let (target_version, within) = (target_version.clone(), *within);
                 let order = AcceptedOrder {
-                    target_version,
-                    within,
+                    target_version: target_version.clone(),
+                    within: *within,
                     id: index,
                     accepted_at: 0,
                 };
@@ -233,10 +232,9 @@
                 finished_id,
                 accepted_at,
             } => {
-                let (target_version, within) = (target_version.clone(), *within);
                 let order = AcceptedOrder {
-                    target_version,
-                    within,
+                    target_version: target_version.clone(),
+                    within: *within,
                     id: index,
                     accepted_at: *accepted_at,
                 };
--- a/crates/control-plane/tests/narrow_links.rs
+++ b/crates/control-plane/tests/narrow_links.rs
@@ -1,6 +1,6 @@
 //! Editions on narrow links: a leader on 51 Mbit/s and 88 proxies on 2 Mbit/s, most of which their clients don't need,
-//! simulated; a large edition, a storm of small ones, joins, restarts, cuts and a new leader in the middle of it. Checked
-//! after each step: no proxy goes back, each edition is in force in time wherever it can be, proxies and followers
+//! simulated; a large configuration, a storm of small ones, joins, restarts, cuts and a new leader in the middle of it. Checked
+//! after each step: no proxy goes back, each configuration is in force in time wherever it can be, proxies and followers
 //! receive heartbeats in time, and what is in flight and what is kept is bounded. `NARROW_SEEDS` plays more days.
 
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashMap};
 
-const COUNTERS: usize = 88;
+const PROXIES: usize = 88;
 /// Microseconds.
 const S: u64 = 1_000_000;
 /// Bytes a second: of the leader's link, and what clients leave of a proxy's.
@@ -24,10 +24,10 @@
 const DOWN: u64 = 190_000;
 const IN_FORCE_WITHIN: u64 = 3 * S;
 const IN_TOUCH_AFTER: u64 = 5 * S;
-/// Counters let go of a leader after a second without a word, followers after 0.4 s.
+/// Proxies let go of a leader after a second without a message, followers after 0.4 s.
 const PATIENCE: u64 = S;
 const FOLLOWERS_PATIENCE: u64 = 400_000;
-/// A proxy takes so long to read a kilobyte of an edition, at a tenth of a core.
+/// A proxy takes so long to read a kilobyte of an configuration, at a tenth of a core.
 const READ_KB: u64 = 300;
 
 /// How editions are sent: as they are, or as they were: each to all proxies at once, in one frame.
@@ -140,7 +140,7 @@
             calm_since: 1000 * S,
             ..Proxy::default()
         };
-        let proxies = (0..COUNTERS).map(|_| none()).collect();
+        let proxies = (0..PROXIES).map(|_| none()).collect();
         let mut day = Day {
             way,
             now: 0,
@@ -152,14 +152,14 @@
             links: HashMap::new(),
             proxies,
             up_free_at: 0,
-            waiting: vec![0; COUNTERS],
+            waiting: vec![0; PROXIES],
             broken: Vec::new(),
             chance,
         };
         day.at(0, Then::Beat);
         day.at(0, Then::FollowersBeat);
         day.at(10_000, Then::Edition(0));
-        for proxy in 0..COUNTERS {
+        for proxy in 0..PROXIES {
             let joins = if proxy < 80 { S / 4 } else { 12 * S };
             let at = day.chance.gen_range(joins / 20..joins);
             day.at(at, Then::Restarts(proxy));
@@ -170,17 +170,17 @@
         for _ in 0..10 {
             let (at, proxy) = (
                 day.chance.gen_range(5 * S..11 * S),
-                day.chance.gen_range(0..COUNTERS),
+                day.chance.gen_range(0..PROXIES),
             );
             let until = at + day.chance.gen_range(S / 10..4 * S);
             day.at(at, Then::Cut(proxy, until));
             let (at, proxy) = (
                 day.chance.gen_range(5 * S..11 * S),
-                day.chance.gen_range(0..COUNTERS),
+                day.chance.gen_range(0..PROXIES),
             );
             day.at(at, Then::Restarts(proxy));
         }
-        // A zone is cut off while the large edition is on its way.
+        // A zone is cut off while the large configuration is on its way.
         let (at, until) = (
             day.chance.gen_range(7 * S..7 * S + 100_000),
             day.chance.gen_range(8 * S..12 * S),
@@ -466,7 +466,7 @@
     }
 }
 
-/// Guards against what a large edition and those close behind it did on narrow links.
+/// Guards against what a large configuration and those close behind it did on narrow links.
 #[test]
 fn editions_are_in_force_in_time_and_nothing_urgent_waits_behind_them() {
     let seeds = std::env::var("NARROW_SEEDS")
--- a/crates/control-plane/tests/state_machine.rs
+++ b/crates/control-plane/tests/state_machine.rs
@@ -147,7 +147,7 @@
     assert_eq!(state.acknowledged_configs.len(), MAX_REMEMBERED_CONFIGS);
 }
 
-/// Guards against a late word of an old leader that decides a newer order, and against steps back.
+/// Guards against a late command of an old leader that decides a newer order, and against steps back.
 #[test]
 fn a_rollout_takes_only_steps_that_may_follow_and_only_its_own() {
     let mut state = ControlState::default();
@@ -183,9 +183,9 @@
     );
     state.apply(9, &advance(7, Phase::Promoting));
     state.apply(10, &advance(7, Phase::Completed));
-    let standing = &state.services["s"];
-    assert_eq!(standing.version.as_deref(), Some("v3"));
-    assert_eq!(standing.rejected_versions, ["v2", "v1"]);
+    let service = &state.services["s"];
+    assert_eq!(service.version.as_deref(), Some("v3"));
+    assert_eq!(service.rejected_versions, ["v2", "v1"]);
 }
 
 /// Guards against an order that begins anew when it is sent again after it was returned (exposure twice), or after it was
--- a/crates/http1/src/framing/body.rs
+++ b/crates/http1/src/framing/body.rs
@@ -58,6 +58,20 @@
     EndLineFeed,
 }
 
+impl ChunkState {
+    /// Whether a byte that leads here belongs to an extension, a trailer or the end, which are limited together.
+    fn is_metadata(self) -> bool {
+        !matches!(
+            self,
+            ChunkState::Size
+                | ChunkState::SizeLineFeed
+                | ChunkState::Data
+                | ChunkState::DataCarriageReturn
+                | ChunkState::DataLineFeed
+        )
+    }
+}
+
 /// A body in chunks (RFC 9112, 7.1).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChunkParser {
@@ -82,6 +96,7 @@
         }
     }
 
+    /// Parses chunks; the results are those of [`BodyParser::parse`].
     fn parse(&mut self, bytes: &[u8]) -> Result<(usize, bool), FramingError> {
         let mut len = 0;
         while len < bytes.len() {
@@ -101,14 +116,7 @@
             if ended {
                 return Ok((len, true));
             }
-            if !matches!(
-                self.state,
-                ChunkState::Size
-                    | ChunkState::SizeLineFeed
-                    | ChunkState::Data
-                    | ChunkState::DataCarriageReturn
-                    | ChunkState::DataLineFeed
-            ) {
+            if self.state.is_metadata() {
                 self.metadata_bytes += 1;
                 if self.metadata_bytes > MAX_METADATA_BYTES {
                     return Err(FramingError::TooLarge);
--- a/crates/operator-config/src/journal.rs
+++ b/crates/operator-config/src/journal.rs
@@ -38,16 +38,40 @@
     /// How many bytes from there on are ignored.
     pub ignored_bytes: usize,
     /// What is wrong.
-    pub reason: &'static str,
+    pub reason: DamageReason,
 }
 
-/// The reason that a crash leaves behind: such a record was never acknowledged.
-const TORN: &str = "a record is torn";
+/// What is wrong with the first bad record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DamageReason {
+    /// The file has another header.
+    NotAJournal,
+    /// The record is cut off, as a crash leaves it: it was never acknowledged.
+    Torn,
+    /// The record claims to be larger than any can be.
+    ImpossibleLength,
+    /// The checksum does not fit.
+    Checksum,
+    /// The record is whole, but not known to this program.
+    UnknownRecord,
+}
+
+impl fmt::Display for DamageReason {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            DamageReason::NotAJournal => "it does not begin as a journal does",
+            DamageReason::Torn => "a record is torn",
+            DamageReason::ImpossibleLength => "a record's length can't be",
+            DamageReason::Checksum => "a record's checksum does not fit",
+            DamageReason::UnknownRecord => "a record says what this program does not know",
+        })
+    }
+}
 
 impl Damage {
     /// Whether it is what a crash leaves behind.
     pub fn is_torn(&self) -> bool {
-        self.reason == TORN
+        self.reason == DamageReason::Torn
     }
 }
 
@@ -153,25 +177,26 @@
 fn decode_records<T: DeserializeOwned>(
     bytes: &[u8],
     decoded: &mut Decoded<T>,
-) -> Result<(), &'static str> {
+) -> Result<(), DamageReason> {
     if !bytes.starts_with(FILE_HEADER) {
-        return Err("it does not begin as a journal does");
+        return Err(DamageReason::NotAJournal);
     }
     decoded.valid_bytes = FILE_HEADER.len();
     while decoded.valid_bytes < bytes.len() {
         let rest = &bytes[decoded.valid_bytes..];
-        let (header, rest) = rest.split_at_checked(RECORD_HEADER_BYTES).ok_or(TORN)?;
+        let (header, rest) = rest
+            .split_at_checked(RECORD_HEADER_BYTES)
+            .ok_or(DamageReason::Torn)?;
         let length = [header[0], header[1], header[2], header[3]];
         let size = u32::from_le_bytes(length) as usize;
         if size > MAX_RECORD_BYTES {
-            return Err("a record's length can't be");
+            return Err(DamageReason::ImpossibleLength);
         }
-        let body = rest.get(..size).ok_or(TORN)?;
+        let body = rest.get(..size).ok_or(DamageReason::Torn)?;
         if checksum(length, body) != header[4..] {
-            return Err("a record's checksum does not fit");
+            return Err(DamageReason::Checksum);
         }
-        let record = serde_json::from_slice(body)
-            .map_err(|_| "a record says what this program does not know")?;
+        let record = serde_json::from_slice(body).map_err(|_| DamageReason::UnknownRecord)?;
         decoded.records.push(record);
         decoded.valid_bytes += RECORD_HEADER_BYTES + size;
     }
--- a/crates/sidecar/src/life/keeper.rs
+++ b/crates/sidecar/src/life/keeper.rs
@@ -206,7 +206,7 @@
         std::fs::write(&path, &bytes[..bytes.len() - 3]).expect("torn");
         let (_, steps, damage) = Keeper::<ChangeEvent>::open(&path).expect("a journal");
         assert_eq!(steps, [step(1)]);
-        assert!(damage.is_some_and(|d| d.reason == "a record is torn"));
+        assert!(damage.is_some_and(|d| d.reason.to_string() == "a record is torn"));
     }
 
     /// What comes while a sync takes is written with one more: a burst does not wait for a sync each.
--- a/tools/raft-simulation/src/cluster.rs
+++ b/tools/raft-simulation/src/cluster.rs
@@ -282,6 +282,18 @@
         self.request_ids
     }
 
+    /// Runs until the first leader stands.
+    ///
+    /// # Panics
+    ///
+    /// If there is none within a second.
+    pub fn run_until_first_leader(&mut self) {
+        assert!(
+            self.run_until(SECOND, |cluster| cluster.leader().is_some()),
+            "a first leader within a second"
+        );
+    }
+
     /// Asks a machine to hand its leadership on.
     pub fn step_down(&mut self, machine: usize) {
         self.simulator
--- a/tools/raft-simulation/src/cluster_checks.rs
+++ b/tools/raft-simulation/src/cluster_checks.rs
@@ -1,14 +1,15 @@
 //! The invariants of consensus on a simulated cluster.
 
+use crate::raft_process::LeadersByTerm;
 use crate::simulated_node::{Observation, SimulatedNode};
 use crate::Observer;
-use magpieline_raft::{Envelope, Message, NodeId, Outcome, PersistentState, Role, Term};
+use magpieline_raft::{Envelope, Message, NodeId, Outcome, PersistentState, Term};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The invariants of consensus, checked after every step.
 #[derive(Default)]
 pub(crate) struct ClusterChecks {
-    pub(crate) leaders: BTreeMap<Term, NodeId>,
+    pub(crate) leaders: LeadersByTerm,
     /// All commands in force, in order: every machine applies a beginning of it.
     pub(crate) commands: Vec<u64>,
     positions: HashMap<u64, usize>,
@@ -107,15 +108,7 @@
 
     fn after_step(&mut self, machine: usize, node: &SimulatedNode) {
         let raft = node.raft();
-        if raft.role() == Role::Leader {
-            let first = *self.leaders.entry(raft.term()).or_insert(raft.id());
-            assert_eq!(
-                first,
-                raft.id(),
-                "two leaders in term {}, one is machine {machine}",
-                raft.term()
-            );
-        }
+        self.leaders.check(machine, raft);
         for voter in raft.voters() {
             if !self.known_voters.contains(voter) {
                 self.known_voters.insert(*voter);
--- a/tools/raft-simulation/src/lib.rs
+++ b/tools/raft-simulation/src/lib.rs
@@ -18,6 +18,7 @@
 mod memory_store;
 mod operator_node;
 mod operator_workload;
+mod raft_process;
 mod simulated_node;
 mod simulator;
 mod store_node;
--- a/tools/raft-simulation/src/operator_node.rs
+++ b/tools/raft-simulation/src/operator_node.rs
@@ -1,6 +1,7 @@
 //! A controller as operators meet it: its Raft node, the state agreed on, and the calls in progress, which it answers as the
 //! gateway's `controller/operator_api.rs` does.
 
+use crate::raft_process::raft_event;
 use crate::{BootOptions, Effect, Input, Micros, Process, MILLI, SECOND};
 use magpieline_control_plane::deduplication::{AcceptanceClock, Arrival, OrderContent};
 use magpieline_control_plane::digest::Digest;
@@ -409,20 +410,16 @@
 
     fn step(&mut self, now: Micros, input: Input<OperatorNode>) -> Effects {
         let mut effects = Vec::new();
-        let event = match input {
-            Input::Tick => Event::Tick,
-            Input::Message(envelope) => Event::Receive(envelope),
-            Input::Synced(serial) => Event::Persisted { serial },
-            Input::Refused(serial) => Event::WriteFailed { serial },
-            Input::Call(Call::Propose(command)) => Event::Propose {
+        let event = raft_event(input, |call| match call {
+            Call::Propose(command) => Event::Propose {
                 request_id: 0,
                 command: command.encode(),
             },
-            Input::Call(Call::Request {
+            Call::Request {
                 id,
                 request,
                 time_of_day,
-            }) => {
+            } => {
                 let call = PendingCall {
                     request,
                     arrival: Arrival {
@@ -437,7 +434,7 @@
                 self.calls.insert(id, call);
                 Event::Tick
             }
-        };
+        });
         self.step_raft(now, event, &mut effects);
         if self.commands_since_snapshot >= COMMANDS_PER_SNAPSHOT || self.raft.should_compact() {
             self.compact(now, &mut effects);
--- a/tools/raft-simulation/src/simulated_node.rs
+++ b/tools/raft-simulation/src/simulated_node.rs
@@ -1,5 +1,6 @@
 //! A Raft node with a small state machine, as a process of the simulation.
 
+use crate::raft_process::raft_event;
 use crate::{BootOptions, Effect, Input, Micros, Process};
 use magpieline_raft::{
     Action, Envelope, Event, Index, Outcome, PersistentState, RaftNode, WriteBatch,
@@ -169,12 +170,8 @@
     }
 
     fn step(&mut self, now: Micros, input: Input<SimulatedNode>) -> Vec<Effect<SimulatedNode>> {
-        let event = match input {
-            Input::Tick => Event::Tick,
-            Input::Message(envelope) => Event::Receive(envelope),
-            Input::Synced(serial) => Event::Persisted { serial },
-            Input::Refused(serial) => Event::WriteFailed { serial },
-            Input::Call(Call::Propose { request_id, size }) => {
+        let event = raft_event(input, |call| match call {
+            Call::Propose { request_id, size } => {
                 let mut command = request_id.to_le_bytes().to_vec();
                 command.resize(8 + size, 0);
                 Event::Propose {
@@ -182,10 +179,10 @@
                     command,
                 }
             }
-            Input::Call(Call::Read { request_id }) => Event::Read { request_id },
-            Input::Call(Call::StepDown) => Event::StepDown,
-            Input::Call(Call::Leave) => Event::Leave,
-        };
+            Call::Read { request_id } => Event::Read { request_id },
+            Call::StepDown => Event::StepDown,
+            Call::Leave => Event::Leave,
+        });
         let mut effects = Vec::new();
         let actions = self.raft.step(now, event);
         self.perform(actions, &mut effects);
--- a/tools/raft-simulation/src/store_node.rs
+++ b/tools/raft-simulation/src/store_node.rs
@@ -1,11 +1,10 @@
 //! All of a controller but its sockets, as a process of the simulation: the Raft node, the state agreed on and the real store.
 
 use crate::memory_store::StoreDisk;
+use crate::raft_process::{raft_event, LeadersByTerm};
 use crate::{BootOptions, Effect, Input, Micros, Observer, Process};
 use magpieline_control_plane::state_machine::{Command, ControlState};
-use magpieline_raft::{
-    Action, Envelope, Event, Index, NodeId, Outcome, RaftNode, Role, Term, WriteBatch,
-};
+use magpieline_raft::{Action, Envelope, Event, Index, Outcome, RaftNode, Role, WriteBatch};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::hash_map::DefaultHasher;
@@ -153,20 +152,16 @@
     }
 
     fn step(&mut self, now: Micros, input: Input<StoreNode>) -> Vec<Effect<StoreNode>> {
-        let event = match input {
-            Input::Tick => Event::Tick,
-            Input::Message(envelope) => Event::Receive(envelope),
-            Input::Synced(serial) => Event::Persisted { serial },
-            Input::Refused(serial) => Event::WriteFailed { serial },
-            Input::Call(Call::Propose {
+        let event = raft_event(input, |call| match call {
+            Call::Propose {
                 request_id,
                 command,
-            }) => Event::Propose {
+            } => Event::Propose {
                 request_id,
                 command,
             },
-            Input::Call(Call::StepDown) => Event::StepDown,
-        };
+            Call::StepDown => Event::StepDown,
+        });
         let mut effects = Vec::new();
         let actions = self.raft.step(now, event);
         self.perform(actions, &mut effects);
@@ -213,7 +208,7 @@
 /// What must hold after every step.
 #[derive(Default)]
 pub(crate) struct StoreChecks {
-    pub(crate) leaders: BTreeMap<Term, NodeId>,
+    pub(crate) leaders: LeadersByTerm,
     commands: BTreeMap<Index, u64>,
     states: HashMap<Index, u64>,
     /// The last entry that was acknowledged, and the highest configuration version.
@@ -262,19 +257,13 @@
         if raft.role() != Role::Leader {
             return;
         }
-        if !self.leaders.contains_key(&raft.term()) {
+        if !self.leaders.contains(raft.term()) {
             let (last, acknowledged) = (raft.last_index(), self.acknowledged);
             assert!(
                 last >= acknowledged,
                 "machine {machine} leads, its log ends at {last} of {acknowledged}"
             );
         }
-        let first = *self.leaders.entry(raft.term()).or_insert(raft.id());
-        assert_eq!(
-            first,
-            raft.id(),
-            "two leaders in term {}, one is machine {machine}",
-            raft.term()
-        );
+        self.leaders.check(machine, raft);
     }
 }
--- a/tools/raft-simulation/tests/directed.rs
+++ b/tools/raft-simulation/tests/directed.rs
@@ -8,16 +8,13 @@
 use rstest::rstest;
 
 /// Machines with a leader that has led for a second.
-fn grown(machines: usize, seed: u64) -> Cluster {
+fn led_cluster(machines: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::new(ClusterConfig {
         seed,
         machines,
         net: NetworkProfile::RELIABLE,
     });
-    assert!(
-        cluster.run_until(SECOND, |cluster| cluster.leader().is_some()),
-        "a first leader within a second"
-    );
+    cluster.run_until_first_leader();
     cluster.run_for(SECOND);
     acknowledge(&mut cluster);
     cluster
@@ -27,7 +24,7 @@
     matches!(cluster.outcome(request_id), Some(Outcome::Committed { .. }))
 }
 
-/// Has a command agreed on; returns just after the leader's word.
+/// Has a command agreed on; returns just after the leader has acknowledged it.
 fn acknowledge(cluster: &mut Cluster) {
     let request_id = cluster.propose(cluster.leader().expect("a leader"), 100);
     let end = cluster.simulator.now() + SECOND;
@@ -79,7 +76,7 @@
 /// Guards against an acknowledgement that only the leader's memory bore out.
 #[rstest]
 fn leader_killed_right_after_acknowledging(#[values(3, 5)] machines: usize) {
-    let mut cluster = grown(machines, 1);
+    let mut cluster = led_cluster(machines, 1);
     let old = cluster.leader().unwrap();
     cluster.simulator.kill(old);
     next_leader(&mut cluster, old, 1_100 * MILLI);
@@ -92,7 +89,7 @@
 /// right after the acknowledgement, with the power of the others lost.
 #[rstest]
 fn one_wiped_and_the_others_without_power(#[values(0, 1, 2)] wiped: usize) {
-    let mut cluster = grown(3, 2);
+    let mut cluster = led_cluster(3, 2);
     let others = all_but(&cluster, wiped);
     cluster.wipe(wiped);
     others
@@ -114,7 +111,7 @@
 /// Guards the return after a kill of all: from what is stored, without waiting for more than an election.
 #[rstest]
 fn all_killed_at_once(#[values(3, 5)] machines: usize) {
-    let mut cluster = grown(machines, 4);
+    let mut cluster = led_cluster(machines, 4);
     (0..machines).for_each(|machine| cluster.simulator.kill(machine));
     cluster.run_for(300 * MILLI);
     (0..machines).for_each(|machine| cluster.start(machine));
@@ -129,7 +126,7 @@
 fn leader_with_a_bad_disk_gives_way(
     #[values(DiskFault::Hung, DiskFault::Full)] disk_fault: DiskFault,
 ) {
-    let mut cluster = grown(3, 5);
+    let mut cluster = led_cluster(3, 5);
     let old = cluster.leader().unwrap();
     cluster.simulator.set_disk_fault(old, disk_fault);
     cluster.propose(old, 100);
@@ -145,7 +142,7 @@
 /// Guards against a follower's full disk holding up the others.
 #[test]
 fn a_follower_with_a_full_disk_holds_up_nobody() {
-    let mut cluster = grown(3, 6);
+    let mut cluster = led_cluster(3, 6);
     let leader = cluster.leader().unwrap();
     let other = (leader + 1) % 3;
     cluster.simulator.set_disk_fault(other, DiskFault::Full);
@@ -163,7 +160,7 @@
 #[case(true, false)]
 #[case(false, true)]
 fn leader_cut_off(#[case] deaf: bool, #[case] mute: bool) {
-    let mut cluster = grown(3, 7);
+    let mut cluster = led_cluster(3, 7);
     let old = cluster.leader().unwrap();
     for other in all_but(&cluster, old) {
         if deaf {
@@ -190,7 +187,7 @@
 /// Guards against a follower that hears and is not heard, or the reverse, and makes the others vote again and again.
 #[rstest]
 fn follower_cut_off_one_way(#[values(true, false)] deaf: bool) {
-    let mut cluster = grown(3, 8);
+    let mut cluster = led_cluster(3, 8);
     let leader = cluster.leader().unwrap();
     let odd = (leader + 1) % 3;
     let terms = cluster.terms();
@@ -212,7 +209,7 @@
 /// Guards the way back of a wiped machine: filled from a snapshot and voting well under two seconds later.
 #[rstest]
 fn a_wiped_follower_votes_again_soon(#[values(3, 5)] machines: usize) {
-    let mut cluster = grown(machines, 9);
+    let mut cluster = led_cluster(machines, 9);
     (0..150).for_each(|_| acknowledge(&mut cluster));
     let wiped = (cluster.leader().unwrap() + 1) % machines;
     cluster.wipe(wiped);
@@ -224,7 +221,7 @@
 /// Guards the same while the leader that fills it is lost, at any moment of the filling.
 #[rstest]
 fn a_wiped_follower_votes_again_though_the_leader_changes(#[values(1, 6, 15)] after: u64) {
-    let mut cluster = grown(5, 10);
+    let mut cluster = led_cluster(5, 10);
     (0..150).for_each(|_| acknowledge(&mut cluster));
     let old = cluster.leader().unwrap();
     let wiped = (old + 1) % 5;
@@ -242,16 +239,13 @@
 /// one address is right, vote soon, two at a time.
 #[test]
 fn added_machines_with_old_seeds_vote_soon() {
-    let planting = ClusterConfig {
+    let config = ClusterConfig {
         seed: 11,
         machines: 3,
         net: NetworkProfile::RELIABLE,
     };
-    let mut cluster = Cluster::with_tolerance(planting, 2, 4 * SECOND);
-    assert!(
-        cluster.run_until(SECOND, |cluster| cluster.leader().is_some()),
-        "a first leader within a second"
-    );
+    let mut cluster = Cluster::with_tolerance(config, 2, 4 * SECOND);
+    cluster.run_until_first_leader();
     cluster.run_for(SECOND);
     cluster.add();
     cluster.run_for(SECOND);
@@ -264,7 +258,7 @@
 /// Guards against a leader that was frozen and goes on as if no time had passed.
 #[test]
 fn an_old_leader_that_comes_back_follows() {
-    let mut cluster = grown(3, 12);
+    let mut cluster = led_cluster(3, 12);
     let old = cluster.leader().unwrap();
     cluster.simulator.freeze(old);
     let new = next_leader(&mut cluster, old, 1_100 * MILLI);
@@ -292,7 +286,7 @@
 /// has been silent for a quarter of `recovery_interval`, and not before. When it comes back after all it waits in turn.
 #[rstest]
 fn a_voter_gone_for_good_is_replaced(#[values(true, false)] one_waits: bool) {
-    let mut cluster = grown(if one_waits { 4 } else { 3 }, 13);
+    let mut cluster = led_cluster(if one_waits { 4 } else { 3 }, 13);
     cluster.run_for(4 * SECOND);
     let leader = cluster.leader().unwrap();
     let is_voter =
@@ -320,7 +314,7 @@
 /// that are silent are taken out together, so that one more may go. When they are back they wait to vote.
 #[test]
 fn two_voters_gone_are_taken_out_where_enough_stay() {
-    let mut cluster = grown(5, 16);
+    let mut cluster = led_cluster(5, 16);
     recovers(&mut cluster, SECOND);
     assert_eq!(voters(&cluster).len(), 5);
     cluster.simulator.set_tolerated_failures(1);
@@ -345,7 +339,7 @@
 /// that of the machines which they succeed costs more than one vote.
 #[test]
 fn machines_beyond_those_needed_wait() {
-    let mut cluster = grown(3, 17);
+    let mut cluster = led_cluster(3, 17);
     let before = voters(&cluster);
     (0..3).for_each(|_| {
         cluster.add();
@@ -358,7 +352,7 @@
 /// Guards against a pause at each roll-over: a leader that stops in order is replaced in a few milliseconds.
 #[test]
 fn a_leader_that_gives_way_is_replaced_at_once() {
-    let mut cluster = grown(3, 14);
+    let mut cluster = led_cluster(3, 14);
     let old = cluster.leader().unwrap();
     cluster.step_down(old);
     next_leader(&mut cluster, old, 30 * MILLI);
@@ -367,7 +361,7 @@
 /// Guards the price of being idle: a sign of life and its answer for each follower, ten times a second.
 #[rstest]
 fn idle_machines_say_little(#[values(3, 5)] machines: usize) {
-    let mut cluster = grown(machines, 15);
+    let mut cluster = led_cluster(machines, 15);
     cluster.run_for(SECOND);
     let before = cluster.simulator.messages();
     cluster.run_for(10 * SECOND);
--- a/tools/raft-simulation/tests/replaced.rs
+++ b/tools/raft-simulation/tests/replaced.rs
@@ -9,16 +9,13 @@
 const LED_WITHIN: u64 = 5 * SECOND;
 
 /// Machines with a leader that has led for a second.
-fn grown(machines: usize, seed: u64) -> Cluster {
+fn led_cluster(machines: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::new(ClusterConfig {
         seed,
         machines,
         net: NetworkProfile::RELIABLE,
     });
-    assert!(
-        cluster.run_until(SECOND, |cluster| cluster.leader().is_some()),
-        "a first leader within a second"
-    );
+    cluster.run_until_first_leader();
     cluster.run_for(CATCH_UP);
     cluster
 }
@@ -46,7 +43,7 @@
     #[values(true, false)] successor_first: bool,
     #[values(0, 1, 2)] seed: u64,
 ) {
-    let mut cluster = grown(machines, 100 + seed);
+    let mut cluster = led_cluster(machines, 100 + seed);
     let tolerated_failures = (machines - 1) / 2;
     let old = (cluster.leader().unwrap() + seed as usize) % machines;
     if successor_first {
@@ -73,7 +70,7 @@
 /// address as it was, and nobody is without a leader for long.
 #[rstest]
 fn a_rolling_restart_is_quick(#[values(3, 5)] machines: usize, #[values(0, 1, 2)] seed: u64) {
-    let mut cluster = grown(machines, 200 + seed);
+    let mut cluster = led_cluster(machines, 200 + seed);
     let voters = |cluster: &Cluster| {
         cluster
             .node(cluster.leader().unwrap())
@@ -106,7 +103,7 @@
     #[values(3, 5)] machines: usize,
     #[values(0, 1, 2)] seed: u64,
 ) {
-    let mut cluster = grown(machines, 300 + seed);
+    let mut cluster = led_cluster(machines, 300 + seed);
     let old = (cluster.leader().unwrap() + seed as usize) % machines;
     let node_id = cluster.node(old).unwrap().raft().id();
     let new = cluster.add_with(vec![address(old)]);
