--- a/crates/config/src/node_settings.rs
+++ b/crates/config/src/node_settings.rs
@@ -48,6 +48,16 @@
     pub guarantees: Guarantees,
 }
 
+impl NodeSettings {
+    /// Returns the controllers of `controller_seeds` at another port.
+    pub fn controllers_at(&self, port: u16) -> Vec<SocketAddrV4> {
+        let seeds = self.controller_seeds.iter();
+        seeds
+            .map(|seed| SocketAddrV4::new(*seed.ip(), port))
+            .collect()
+    }
+}
+
 /// The platform's list of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformApi {
--- a/crates/control-plane/src/state_machine.rs
+++ b/crates/control-plane/src/state_machine.rs
@@ -32,6 +32,16 @@
     RolledBack,
 }
 
+impl Phase {
+    /// Whether a rollout in this phase is under way.
+    pub fn is_active(self) -> bool {
+        match self {
+            Phase::Trial | Phase::Promoting => true,
+            Phase::Completed | Phase::RolledBack => false,
+        }
+    }
+}
+
 /// A service's move to another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
@@ -306,7 +316,7 @@
     /// Returns the service's rollout that is under way.
     pub fn active_rollout(&self, service: &str) -> Option<&Rollout> {
         let rollout = self.services.get(service)?.rollout.as_ref();
-        rollout.filter(|rollout| matches!(rollout.phase, Phase::Trial | Phase::Promoting))
+        rollout.filter(|rollout| rollout.phase.is_active())
     }
 
     /// Begins a rollout, unless the order is a duplicate: the last order of its content came after `finished_id`.
--- a/crates/gateway/src/controller/mod.rs
+++ b/crates/gateway/src/controller/mod.rs
@@ -189,8 +189,7 @@
     /// Returns the agent addresses of the other controllers that are known here.
     fn other_controllers(&self) -> Vec<SocketAddrV4> {
         let port = self.initial_settings.agent_ports.0;
-        let seeds = self.initial_settings.controller_seeds.iter();
-        let seeds = seeds.map(|seed| SocketAddrV4::new(*seed.ip(), port));
+        let seeds = self.initial_settings.controllers_at(port);
         let mut others: Vec<SocketAddrV4> = self.raft.voters().into_iter().chain(seeds).collect();
         others.retain(|other| *other != self.agent_address());
         others.sort();
--- a/crates/gateway/src/controller/operator_api.rs
+++ b/crates/gateway/src/controller/operator_api.rs
@@ -40,10 +40,7 @@
 /// Serves operators until the task is aborted.
 pub(super) async fn run(controller: Arc<Controller>, listener: TcpListener) {
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_RETRY_INTERVAL).await;
-            continue;
-        };
+        let stream = net::accept(&listener, ACCEPT_RETRY_INTERVAL).await;
         if net::configure_stream(&stream).is_err() {
             continue;
         }
--- a/crates/gateway/src/controller/proxy_sessions.rs
+++ b/crates/gateway/src/controller/proxy_sessions.rs
@@ -32,10 +32,7 @@
 pub(super) async fn run(controller: Arc<Controller>, listener: TcpListener) {
     tokio::spawn(send_heartbeats(controller.clone()));
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_RETRY_INTERVAL).await;
-            continue;
-        };
+        let stream = net::accept(&listener, ACCEPT_RETRY_INTERVAL).await;
         if net::configure_stream(&stream).is_ok() {
             tokio::spawn(serve_connection(controller.clone(), stream));
         }
--- a/crates/gateway/src/controller/raft_driver.rs
+++ b/crates/gateway/src/controller/raft_driver.rs
@@ -184,10 +184,6 @@
 
 fn raft_config(settings: &NodeSettings, dir: &Path, seed: u64) -> Result<Config, StoreError> {
     let port = settings.agent_ports.0;
-    let seeds = settings
-        .controller_seeds
-        .iter()
-        .map(|address| SocketAddrV4::new(*address.ip(), port));
     // How many machines are in a zone isn't known here: then as many vote as can.
     let tolerated_failures = if settings.tolerated_areas > 0 {
         MAX_VOTERS / 2
@@ -196,7 +192,7 @@
     };
     Ok(Config {
         address: SocketAddrV4::new(settings.ip, port),
-        seeds: seeds.collect(),
+        seeds: settings.controllers_at(port),
         // A node whose store was quarantined has been here before, even if its settings are those of its first start.
         first_run: settings.first_run && !is_quarantined(&DiskDirectory::at(dir))?,
         seed,
@@ -316,13 +312,10 @@
     ///
     /// If it was not accepted, or what became of it is unknown.
     pub async fn propose(&self, command: &Command) -> Result<Effect, RequestError> {
-        let (sender, completion) = oneshot::channel();
-        let request = Request::Propose(command.encode(), sender);
-        self.requests
-            .try_send(request)
-            .map_err(|_| RequestError::NotAccepted)?;
-        let completion = completion.await.map_err(|_| RequestError::OutcomeUnknown)?;
-        check(completion.outcome)?;
+        let command = command.encode();
+        let completion = self
+            .request(|sender| Request::Propose(command, sender))
+            .await?;
         // Committed, and what it did is unknown: that is no answer.
         completion.effect.ok_or(RequestError::OutcomeUnknown)
     }
@@ -333,13 +326,21 @@
     ///
     /// If this node does not lead.
     pub async fn read_barrier(&self) -> Result<(), RequestError> {
+        self.request(Request::Read).await.map(drop)
+    }
+
+    /// Asks the node, and waits until it has done what it was asked.
+    async fn request(
+        &self,
+        request: impl FnOnce(oneshot::Sender<Completion>) -> Request,
+    ) -> Result<Completion, RequestError> {
         let (sender, completion) = oneshot::channel();
-        let request = Request::Read(sender);
         self.requests
-            .try_send(request)
+            .try_send(request(sender))
             .map_err(|_| RequestError::NotAccepted)?;
         let completion = completion.await.map_err(|_| RequestError::OutcomeUnknown)?;
-        check(completion.outcome)
+        check(completion.outcome)?;
+        Ok(completion)
     }
 
     /// Takes in a message from another controller; it is lost where too much waits.
--- a/crates/gateway/src/controller/rollout_controller.rs
+++ b/crates/gateway/src/controller/rollout_controller.rs
@@ -4,7 +4,7 @@
 use crate::clock::{now, sleep, Micros};
 use crate::view::phase_name;
 use magpieline_control_plane::messages::{ControllerMessage, EndpointState, TrialStage};
-use magpieline_control_plane::state_machine::{Command, Phase, Rollout};
+use magpieline_control_plane::state_machine::{Command, Rollout};
 use magpieline_rollout::analysis::{Decision, Observation, RolloutAnalysis};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -76,7 +76,7 @@
     let rollouts =
         services.filter_map(|(name, service)| Some((name.clone(), service.rollout.clone()?)));
     rollouts
-        .filter(|(_, rollout)| matches!(rollout.phase, Phase::Trial | Phase::Promoting))
+        .filter(|(_, rollout)| rollout.phase.is_active())
         .collect()
 }
 
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -1,7 +1,7 @@
 //! Sockets: listening and connecting with the options that a connection behind a partition needs, frames between agents, and what
 //! lets hyper read and write tokio's streams.
 
-use crate::clock::{duration, Micros};
+use crate::clock::{duration, sleep, Micros};
 use magpieline_control_plane::messages::{decode_frame, encode_frame};
 use serde::{Deserialize, Serialize};
 use socket2::{SockRef, TcpKeepalive};
@@ -35,6 +35,16 @@
     listening().map_err(|e| io::Error::new(e.kind(), format!("{at}: can't listen: {e}")))
 }
 
+/// Accepts the next connection. Where the system refuses, as it has no descriptor left, it is asked again after `retry_interval`.
+pub async fn accept(listener: &TcpListener, retry_interval: Micros) -> TcpStream {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => return stream,
+            Err(_) => sleep(retry_interval).await,
+        }
+    }
+}
+
 /// Sets what every connection needs: no delay for small writes, an end where the other side is silent.
 ///
 /// # Errors
--- a/crates/gateway/src/proxy/controller_session.rs
+++ b/crates/gateway/src/proxy/controller_session.rs
@@ -231,11 +231,7 @@
 
 /// Returns where controllers are asked first.
 fn seeds(settings: &NodeSettings, proxy: &Proxy) -> Vec<SocketAddrV4> {
-    let port = proxy.settings_at_start.agent_ports.0;
-    let seeds = settings.controller_seeds.iter();
-    seeds
-        .map(|seed| SocketAddrV4::new(*seed.ip(), port))
-        .collect()
+    settings.controllers_at(proxy.settings_at_start.agent_ports.0)
 }
 
 async fn connect(address: SocketAddrV4) -> io::Result<Connection> {
--- a/crates/gateway/src/proxy/forwarding.rs
+++ b/crates/gateway/src/proxy/forwarding.rs
@@ -61,26 +61,17 @@
     request: Arc<UpstreamRequest>,
 ) -> ProxyResponse {
     let is_idempotent = resolved.route.idempotency == Idempotency::Idempotent;
-    let Some(id) = request.try_id().filter(|_| !is_idempotent) else {
-        let result = Forwarding::new(proxy, resolved, request.clone())
-            .run()
-            .await;
-        return response(result, &request);
-    };
     let path = request.uri.path();
-    if !proxy.seen_requests().admit(now(), id, path) {
+    let id = request.try_id().filter(|_| !is_idempotent);
+    if id.is_some_and(|id| !proxy.seen_requests().admit(now(), id, path)) {
         return responses::duplicate();
     }
     let result = Forwarding::new(proxy, resolved, request.clone())
         .run()
         .await;
-    if matches!(result, Err(NextStep::RejectUnprocessed)) {
+    if let (Some(id), Err(NextStep::RejectUnprocessed)) = (id, &result) {
         proxy.seen_requests().forget(id, path);
     }
-    response(result, &request)
-}
-
-fn response(result: Result<ProxyResponse, NextStep>, request: &UpstreamRequest) -> ProxyResponse {
     result.unwrap_or_else(|step| responses::failed(step, request.deadline))
 }
 
--- a/crates/gateway/src/proxy/readiness.rs
+++ b/crates/gateway/src/proxy/readiness.rs
@@ -1,8 +1,8 @@
 //! Answers the platform's question whether new clients may come.
 
 use super::Proxy;
-use crate::clock::{self, Micros};
-use crate::net::HyperIo;
+use crate::clock::Micros;
+use crate::net::{self, HyperIo};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::service::service_fn;
@@ -17,15 +17,13 @@
 /// Answers probes, for ever: 200 if new clients may come, 503 if not.
 pub(super) async fn run(proxy: Arc<Proxy>, listener: TcpListener) {
     loop {
-        match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::spawn(serve(proxy.clone(), stream))),
-            Err(_) => clock::sleep(ACCEPT_BACKOFF).await,
-        }
+        let stream = net::accept(&listener, ACCEPT_BACKOFF).await;
+        tokio::spawn(serve(proxy.clone(), stream));
     }
 }
 
 async fn serve(proxy: Arc<Proxy>, stream: TcpStream) {
-    let _ = crate::net::configure_stream(&stream);
+    let _ = net::configure_stream(&stream);
     let service = service_fn(move |_| {
         let response = response(proxy.is_ready());
         async move { Ok::<_, Infallible>(response) }
--- a/crates/gateway/src/proxy/state.rs
+++ b/crates/gateway/src/proxy/state.rs
@@ -167,7 +167,11 @@
     /// Takes over states of services, and starts and ends this proxy's parts in rollouts by them.
     pub(super) fn apply_services(&mut self, now: Micros, services: Vec<(String, ServiceState)>) {
         for (service, state) in services {
-            match state.rollout.as_ref().filter(|rollout| is_active(rollout)) {
+            match state
+                .rollout
+                .as_ref()
+                .filter(|rollout| rollout.phase.is_active())
+            {
                 Some(rollout) => self.join_rollout(now, &service, rollout),
                 None => drop(self.rollouts.remove(&service)),
             }
@@ -255,11 +259,6 @@
     }
 }
 
-/// Whether proxies have a part in a rollout.
-fn is_active(rollout: &Rollout) -> bool {
-    matches!(rollout.phase, Phase::Trial | Phase::Promoting)
-}
-
 /// Whether a version of a service may get ordinary requests.
 pub(super) fn is_serving_version(service: Option<&ServiceState>, version: &str) -> bool {
     let Some(service) = service else {
--- a/crates/gateway/src/proxy/status.rs
+++ b/crates/gateway/src/proxy/status.rs
@@ -1,8 +1,8 @@
 //! A proxy's view of things, for operators.
 
-use super::{Proxy, SWEEP_INTERVAL};
-use crate::clock::{self, now};
-use crate::net::FrameReader;
+use super::Proxy;
+use crate::clock::{self, now, Micros};
+use crate::net::{self, FrameReader};
 use crate::view;
 use jzon::JsonValue as Json;
 use magpieline_control_plane::messages::ConnectionPurpose;
@@ -11,17 +11,15 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// An operator's connection says within this time what it is for.
-const PURPOSE_TIMEOUT: clock::Micros = SWEEP_INTERVAL;
+const PURPOSE_TIMEOUT: Micros = 1_000_000;
 /// Between two tries to accept where the system has no descriptor left.
-const ACCEPT_BACKOFF: clock::Micros = SWEEP_INTERVAL;
+const ACCEPT_BACKOFF: Micros = 1_000_000;
 
 /// Answers operators, for ever.
 pub(super) async fn run(proxy: Arc<Proxy>, listener: TcpListener) {
     loop {
-        match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::spawn(answer(proxy.clone(), stream))),
-            Err(_) => clock::sleep(ACCEPT_BACKOFF).await,
-        }
+        let stream = net::accept(&listener, ACCEPT_BACKOFF).await;
+        tokio::spawn(answer(proxy.clone(), stream));
     }
 }
 
--- a/crates/gateway/src/proxy/upstream_request.rs
+++ b/crates/gateway/src/proxy/upstream_request.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{
-    HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, EXPECT, HOST, TE, TRAILER,
-    TRANSFER_ENCODING, UPGRADE,
+    HeaderMap, HeaderName, HeaderValue, CONNECTION, EXPECT, HOST, TE, TRAILER, TRANSFER_ENCODING,
+    UPGRADE,
 };
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Uri};
@@ -81,9 +81,6 @@
         headers.insert(ADDRESSEE, HeaderValue::from_str(id).ok()?);
         let left_ms = self.deadline.saturating_sub(now()) / 1000;
         headers.insert(TIME_LEFT, HeaderValue::from(left_ms));
-        if self.body.is_empty() && self.headers.get(CONTENT_LENGTH).is_none() {
-            headers.remove(CONTENT_LENGTH);
-        }
         Some(request)
     }
 }
--- a/crates/raft/src/node/departure.rs
+++ b/crates/raft/src/node/departure.rs
@@ -67,7 +67,7 @@
             let leader = self.leader_state.as_ref()?;
             let progress = leader.progress.get(voter)?;
             let is_recent =
-                progress.has_answered() && self.now < progress.heard_at + QUORUM_TIMEOUT;
+                progress.has_answered() && leader.is_recent(voter, self.now, QUORUM_TIMEOUT);
             (is_recent && !leader.departures.contains(voter))
                 .then_some((*voter, progress.match_index))
         };
--- a/crates/rollout/src/analysis.rs
+++ b/crates/rollout/src/analysis.rs
@@ -343,7 +343,7 @@
         if outcomes > 0 && self.first_outcome_at.is_none() {
             self.first_outcome_at = Some(observation.now);
         }
-        if matches!(self.phase, Phase::Trial | Phase::Promoting) && self.must_roll_back(pooled) {
+        if self.phase.is_active() && self.must_roll_back(pooled) {
             return Decision::Advance(Phase::RolledBack);
         }
         match self.phase {
